--- a/include/figwinch/cell/cell_settings.h
+++ b/include/figwinch/cell/cell_settings.h
@@ -6,54 +6,61 @@
 
 namespace figwinch {
 
-/// The lease that a coordinator asks for where workers would grant a longer one. Bounds how long
-/// the tasks of a lost worker have no run; all hosts of a cell can start again within it.
+/// Upper bound on the lease that a coordinator requests, even if workers would grant a longer one.
+/// It bounds how long the tasks of a lost worker are down, and is long enough for all hosts of a
+/// cell to restart before a lease expires.
 inline constexpr duration longest_lease = std::chrono::milliseconds(5200);
 
-/// What a coordinator is told about its platform, and its own bounds. Defaults suit the stand-ins.
+/// Platform parameters and timeouts of a coordinator. The defaults match the stand-in platform.
 struct cell_settings {
-    /// The longest lease that a worker grants.
+    /// Longest lease that a worker grants.
     duration max_hold = std::chrono::seconds(6);
-    /// How long a stop may take on a worker.
+    /// Maximum time that a worker takes to stop a run.
     duration stop_bound = std::chrono::milliseconds(900);
-    /// How long a finished job's state is kept for callers.
+    /// How long the state of a finished job is kept for callers.
     duration status_kept = std::chrono::seconds(120);
-    /// How far apart members of a gang may start.
+    /// Maximum time between the starts of the members of a gang.
     duration gang_wait = std::chrono::seconds(3);
-    /// How much longer a task takes away from its data.
+    /// Slowdown factor of a task that runs far from its data.
     double far_factor = 2;
-    /// From a worker's notice that it leaves until nothing may be started there.
+    /// Time between a worker's notice that it leaves and the moment from which no run may be
+    /// started on it.
     duration leave_notice = std::chrono::seconds(2);
-    /// From an operator's word that a data centre is taken out until nothing may be started there.
+    /// Time between an operator's notice that a data centre is evacuated and the moment from which
+    /// no run may be started there.
     duration evacuation_notice = std::chrono::seconds(5);
 
-    /// What holds ask for.
+    /// Lease duration that lease renewals request.
     duration lease() const { return std::min(max_hold, longest_lease); }
 };
 
-/// How long a coordinator goes on when the log doesn't confirm it. Bounds what a successor has to
-/// wait for workers that it can't reach; long enough to sit out the short outages of the log.
+/// How long a coordinator continues while the log does not confirm its leadership. It bounds how
+/// long a successor has to wait for workers that it cannot reach, and is long enough to bridge
+/// short outages of the log.
 inline constexpr duration silence_limit = std::chrono::seconds(5);
-/// For how long of that it prolongs leases: later ones end when the last of these does. A successor
-/// starts tasks of workers that it can't reach once this time and a lease are over, while outages
-/// of the log that are shorter than both end no task.
+/// How long after the last confirmation by the log a coordinator renews leases at full length;
+/// leases requested later end when the last full one does. A successor restarts the tasks of
+/// unreachable workers after this time plus one lease, while an outage of the log that is shorter
+/// than this sum ends no task.
 inline constexpr duration prolonging_limit = std::chrono::seconds(3);
-/// A worker's clock may be this much slow: a lease of 6 s can last 6.12 s.
+/// Minimum rate of a worker's clock relative to real time: by a clock this slow, a lease of 6 s
+/// lasts 6.12 s.
 inline constexpr double slowest_clock = 0.98;
-/// Beyond a lease's end by the slowest clock, for what rounding and timers add.
+/// Margin added to a lease expiry computed for the slowest clock, for rounding and timer delays.
 inline constexpr duration lapse_slack = std::chrono::milliseconds(100);
-/// New jobs are taken up only while the log has confirmed the coordinator within this time, so that
-/// a successor knows which jobs its predecessor can't have started.
+/// A coordinator takes up new jobs only if the log has confirmed its leadership within this time,
+/// so that a successor knows which jobs its predecessor cannot have started.
 inline constexpr duration fresh_reign = std::chrono::seconds(1);
 
-/// How long after it was given an order to start can have an effect: 10 times the usual way, and
-/// short enough that a start that was held up for seconds is dead when it arrives.
+/// How long after it was issued a start order may take effect: 10 times the usual delivery time,
+/// and short enough that an order delayed by seconds has expired when it arrives.
 inline constexpr duration start_validity = std::chrono::milliseconds(1500);
-/// Left of a notice for an order's way to its worker.
+/// Part of a notice period or of an order's validity that is reserved for the delivery of the order
+/// to its worker.
 inline constexpr duration order_way = std::chrono::milliseconds(700);
 
-/// Lasting tasks serve their own users and use about this part of what they ask for. Filling tasks
-/// got 0.86 of what they asked for whether 0.1 of a worker was free by that or -0.4.
+/// Expected utilisation of the CPU that service tasks request. Best-effort tasks got 0.86 of the
+/// CPU that they requested whether this estimate left them 0.1 of a worker or -0.4.
 inline constexpr double lasting_use = 0.45;
 
 } // namespace figwinch
--- a/include/figwinch/cell/coordinator.h
+++ b/include/figwinch/cell/coordinator.h
@@ -16,78 +16,80 @@
 
 namespace figwinch {
 
-/// What a coordinator is doing, for metrics and people.
+/// Counters and gauges of a coordinator, for metrics and status pages.
 struct coordinator_counts {
     std::size_t open_jobs = 0;
     std::size_t running = 0;
     std::size_t workers = 0;
     std::size_t workers_silent = 0;
-    /// Workers that a predecessor may have given tasks and that haven't answered yet.
+    /// Workers on which a predecessor may have started tasks and that have not reported yet.
     std::size_t workers_unresolved = 0;
     std::uint64_t starts = 0;
     std::uint64_t stops = 0;
     std::uint64_t holds = 0;
     std::uint64_t paces = 0;
     std::uint64_t advice_calls = 0;
-    /// Runs that were moved because they stood still or lagged.
+    /// Runs that were moved to another worker because they made no progress or lagged behind.
     std::uint64_t stragglers = 0;
 };
 
-/// Decides every start, stop and pace of a cell during one reign. Rules only: it takes an injected
-/// clock and speaks to workers and log through ports. Built from what the log says when the reign
-/// begins; what runs it learns from the workers themselves, each of which forgets the predecessor's
-/// orders with the first one that carries the new epoch. Owned by the host's daemon.
+/// Schedules a cell during one leadership term: decides every start, stop and CPU throttle.
+/// Contains the rules only: it uses an injected clock and reaches workers and log through
+/// interfaces. Its initial state comes from the log; the runs it learns from the workers, each of
+/// which rejects orders of earlier epochs after the first order with the new epoch. Owned by the
+/// host's daemon.
 class coordinator {
 public:
-    /// Everything that a coordinator works with; must outlive it.
+    /// Dependencies of a coordinator; they must outlive it.
     struct parts {
         const clock& time;
         worker_orders& orders;
         worker_advisor& advisor;
         progress_writer& journal;
-        /// When the newest renewal was asked for that the log has confirmed: nobody else had
-        /// claimed the reign by then.
+        /// Returns when the newest leadership renewal that the log has confirmed was requested. No
+        /// other host had claimed leadership by then.
         std::function<instant()> confirmed_at;
-        /// Whether notices of workers and operators are known up to so short a time ago that a
-        /// start which is ordered now keeps them.
+        /// Returns whether the known notices of workers and operators are recent enough that a
+        /// start ordered now cannot violate one.
         std::function<bool()> sees_notices;
-        /// Called when a worker shows that a higher epoch exists.
+        /// Called when a worker reports a higher epoch than this coordinator's.
         std::function<void()> deposed;
-        /// Drops what the intake stream has of a job that ended long ago; calls back once the log
-        /// has it.
+        /// Removes a job that ended long ago from the intake stream; calls `done` once the log has
+        /// the removal.
         std::function<void(const job_id&, std::function<void()> done)> forget;
     };
 
-    /// What is known of the reigns before.
+    /// What is known of earlier leadership terms.
     struct predecessor {
-        /// It ended by its own word.
+        /// The predecessor ended its term voluntarily.
         bool resigned = false;
-        /// Neither it nor any before it ordered anything later than that.
+        /// No predecessor sent an order after this time.
         instant acted_until{};
-        /// Nor asked for a lease that ends later than one whole lease after that.
+        /// No predecessor requested a lease that ends later than one full lease after this time.
         instant prolonged_until{};
     };
 
-    /// `epoch` is this reign's.
+    /// `epoch` is the epoch of the new coordinator's leadership term.
     static std::unique_ptr<coordinator> create(parts with, const cell_settings& settings,
                                                lease_epoch epoch, const predecessor& before,
                                                const cell_state& known);
     virtual ~coordinator() = default;
 
-    /// The configuration in force, at the begin and after each change.
+    /// Applies the configuration, at the start of the term and after each change.
     virtual void take_config(const cell_config& config) = 0;
-    /// Data centres that are to get no starts.
+    /// Sets the data centres in which no run may be started.
     virtual void take_evacuated(absl::flat_hash_set<data_centre_id> data_centres) = 0;
-    /// All workers that the platform lists.
+    /// Applies the platform's complete list of workers.
     virtual void take_listing(const std::vector<worker_listing>& listing) = 0;
-    /// A job that was accepted or cancelled.
+    /// Applies a job that was accepted or cancelled.
     virtual void take_intake(const job_entry& job) = 0;
-    /// Does what is due. To be called every few milliseconds.
+    /// Performs all work that is due. To be called every few milliseconds.
     virtual void tick() = 0;
 
-    /// What this reign leaves behind if it ends now.
+    /// Returns which workers and tasks the orders of this term may still affect if the term ends
+    /// now.
     virtual outstanding_orders outstanding() const = 0;
-    /// What the reign before left behind when it ended.
+    /// Applies what the predecessor reported when it stepped down.
     virtual void take_outstanding(const outstanding_orders& orders) = 0;
 
     virtual coordinator_counts counts() const = 0;
--- a/include/figwinch/cell/coordinator_view.h
+++ b/include/figwinch/cell/coordinator_view.h
@@ -11,42 +11,43 @@
 /// Whether a worker gets new tasks, and if not, why.
 enum class worker_standing {
     usable,
-    /// The platform doesn't list it any more.
+    /// The platform no longer lists the worker.
     unlisted,
     leaving,
     data_centre_out,
-    /// It hasn't reported under this reign.
+    /// The worker has not reported in this leadership term.
     not_heard,
-    /// It hasn't reported lately.
+    /// The worker has not reported recently.
     silent,
-    /// It refused or failed too much, or is new and not yet recorded.
+    /// The worker is in quarantine after refusals or failures, or not yet recorded in the log.
     resting,
 };
 
-/// Why a job has a task whose turn may have come and that has no worker.
+/// Why a job has unfinished tasks that have no worker.
 enum class job_wait {
-    /// Nothing of it waits.
+    /// No task of the job is waiting.
     none,
-    /// Its next steps depend on running ones, or its time hasn't come.
+    /// The next steps depend on running ones, or the next occurrence is not due yet.
     earlier_steps,
-    /// Tasks of the reign before may still run where nobody has looked.
+    /// Runs from the previous leadership term may exist on workers that have not reported yet.
     earlier_reign,
-    /// A short pause after a failed run.
+    /// Backoff after a failed run.
     pause_after_failure,
-    /// No worker of its service is usable.
+    /// No worker of the job's service is usable.
     no_worker,
-    /// No usable worker has the label that a step asks for.
+    /// No usable worker has the label that the step requires.
     no_label,
-    /// Usable workers have no room for it, or serving tasks there would suffer.
+    /// No usable worker has enough free resources, or the task would harm latency-critical tasks
+    /// there.
     no_room,
-    /// The queue's advisor hasn't allowed a worker yet.
+    /// The queue's advisor has not approved a worker yet.
     advice,
 };
 
 std::string_view to_string(worker_standing standing);
 std::string_view to_string(job_wait wait);
 
-/// A worker as its coordinator sees it.
+/// A worker as the coordinator sees it.
 struct worker_view {
     worker_id id;
     data_centre_id data_centre;
@@ -55,7 +56,7 @@
     resources free;
 };
 
-/// An open job.
+/// An open job as the coordinator sees it.
 struct job_view {
     job_id id;
     queue_name queue;
@@ -63,12 +64,13 @@
     std::size_t running = 0;
     std::size_t waiting = 0;
     job_wait waits_for = job_wait::none;
-    /// Since the coordinator came to know it.
+    /// Time since the job was submitted, or since the coordinator first read it if that is not
+    /// known.
     duration known_for{};
 };
 
-/// What a coordinator works with, for people: all workers, and the open jobs in the order in which
-/// they are served, up to a bound.
+/// Snapshot of a coordinator's state for status pages: all workers, and the open jobs in scheduling
+/// order up to a limit.
 struct coordinator_view {
     std::vector<worker_view> workers;
     std::vector<job_view> jobs;
--- a/include/figwinch/cell/step_down.h
+++ b/include/figwinch/cell/step_down.h
@@ -10,35 +10,38 @@
 
 namespace figwinch {
 
-/// A coordinator asks the holder of the reign before its own to end that reign, which the holder
-/// may not have learned from the log yet.
+/// Asks the coordinator of the previous leadership term to step down. It may not have learned from
+/// the log yet that it was superseded.
 struct step_down_request {
-    /// The life of the process that is asked, and the epoch of its reign.
+    /// The incarnation of the process that is asked, and the epoch of its term.
     incarnation_id holder;
     lease_epoch epoch;
-    /// Of the reign that follows.
+    /// Epoch of the term that follows.
     lease_epoch successor;
 };
 
-/// A worker on which a reign may have left runs.
+/// A worker on which runs of an ended leadership term may exist.
 struct held_worker {
     worker_id id;
-    /// All that the reign ordered there is over by then, by the slowest clock; nothing: unknown.
+    /// Time until all leases and start orders of the term have expired on this worker, even by the
+    /// slowest clock; nothing: unknown.
     std::optional<duration> left;
 };
 
-/// What a reign that ends leaves behind. Its holder orders nothing after that.
+/// What a leadership term leaves behind when it ends. Its coordinator sends no orders after that.
 struct outstanding_orders {
     std::vector<held_worker> held;
-    /// Lasting tasks, by name, of which no run of this reign or an earlier one can be anywhere.
+    /// Names of service tasks that cannot have a run from this term or an earlier one on any
+    /// worker.
     std::vector<std::string> not_ordered;
 };
 
 std::string encode_step_down_request(const step_down_request& request);
-/// Nothing on bytes that aren't one.
+/// Returns nothing if the bytes are not a valid request.
 std::optional<step_down_request> decode_step_down_request(std::string_view bytes);
 
-/// Nothing: the host asked doesn't hold that reign, or hasn't coordinated in it.
+/// `orders` is nothing if the host that was asked does not hold that term, or has not coordinated
+/// in it.
 std::string encode_outstanding(const std::optional<outstanding_orders>& orders);
 std::optional<outstanding_orders> decode_outstanding(std::string_view bytes);
 
--- a/src/cell/cell_coordinator.h
+++ b/src/cell/cell_coordinator.h
@@ -13,11 +13,11 @@
 
 namespace figwinch {
 
-/// A worker that hasn't reported for longer gets nothing new.
+/// A worker whose last report is older gets no new runs.
 inline constexpr duration reported_within = std::chrono::milliseconds(2200);
 
-/// The coordinator's rules. Spread over files by what they are about: jobs, their records, workers
-/// and their reports, leases, sharing, runs, stops, placement and advice.
+/// The coordinator's rules, split into source files by topic: jobs, their records, workers and
+/// their reports, leases, CPU sharing, runs, stops, placement and advice.
 class cell_coordinator final : public coordinator {
 public:
     cell_coordinator(parts with, const cell_settings& settings, lease_epoch epoch,
@@ -185,13 +185,13 @@
     void leave_leaving_workers();
 
     // coordinator_candidates.cpp
-    /// A worker that admits a step's tasks, and how well one would do there; higher is better.
+    /// A worker that can run a step's tasks, and its placement score; higher is better.
     struct candidate {
         worker_work* worker = nullptr;
         double score = 0;
     };
     using candidates = std::vector<candidate>;
-    /// What a step asks for that no worker was found to admit in this round.
+    /// Requirements of a step for which this placement round found no worker.
     struct vain_search {
         service_id service;
         image_number image = 0;
@@ -234,57 +234,57 @@
     instant began_;
     cell_config config_;
     absl::flat_hash_set<data_centre_id> evacuated_;
-    // Ordered, as the workers are: what is decided must not hang on where a hash puts its keys.
+    // Ordered, as the workers are, so that decisions do not depend on hash order.
     std::map<job_id, std::unique_ptr<job_work>> jobs_;
     absl::flat_hash_map<job_id, job_work*> job_index_;
-    /// Jobs that have ended, the first to end in front.
+    /// Ended jobs, the first to end in front.
     std::deque<job_work*> ended_jobs_;
-    /// Open jobs in the order in which they are served.
+    /// Open jobs in scheduling order.
     std::vector<job_work*> order_;
-    /// Jobs whose progress, or whose workers, have changed since they were last written.
+    /// Jobs whose progress, or whose set of workers, has changed since it was last written.
     std::vector<job_work*> dirty_;
     std::vector<job_work*> widened_;
     std::map<worker_id, std::unique_ptr<worker_work>> workers_;
-    /// Finds workers for tasks; its slots are the places of `slots_`.
+    /// Index for finding workers for tasks; its slots are indexes into `slots_`.
     candidate_index index_;
     std::vector<worker_work*> slots_;
     std::vector<worker_slot> unused_slots_;
-    /// By number of the image.
+    /// Index tag of each image, by image number.
     std::vector<tag_number> image_tags_;
     std::uint64_t searches_ = 0;
     std::vector<vain_search> vain_searches_;
-    /// Holds by when they are due; an entry counts while it says what the worker says.
+    /// Lease renewals by due time; an entry is valid while it equals the worker's `next_hold`.
     std::priority_queue<due_hold, std::vector<due_hold>, std::greater<>> due_holds_;
-    /// Workers that a predecessor may have given tasks and that haven't reported, and when what
-    /// they had must be over.
+    /// Workers on which a predecessor may have started tasks and that have not reported yet, and
+    /// when the leases of those tasks have expired.
     absl::flat_hash_map<worker_id, instant> unresolved_;
     worker_marks unresolved_marks_;
-    /// The lives of workers that predecessors held, and when a whole lease that they brought about
-    /// must be over.
+    /// Incarnations of the workers that predecessors granted leases to, and when the longest lease
+    /// that a predecessor's order can have caused has expired.
     absl::flat_hash_map<worker_id, std::uint64_t> held_lives_;
     instant whole_leases_over_{};
     std::size_t marked_unresolved_ = 0;
-    /// Starts of this round that go out once the log has them.
+    /// Starts of this round that are ordered once the log has their records.
     std::vector<std::pair<task_name, run_number>> recording_;
-    /// Runs that have to go.
+    /// Tasks whose runs have to be stopped.
     std::vector<task_name> stopping_;
     std::uint64_t last_run_ = 0;
     bool deposed_ = false;
     bool placement_due_ = true;
-    /// Jobs have come, or their prospects have changed: `order_` isn't in order.
+    /// Jobs were added or their outlook changed: `order_` must be sorted.
     bool sort_due_ = true;
     instant next_placement_{};
     instant next_sweep_{};
     instant next_stragglers_{};
     instant next_lasting_waits_{};
-    /// One call for advice at a time.
+    /// At most one advice request is in flight.
     bool advice_in_flight_ = false;
     instant next_advice_{};
     coordinator_counts counts_;
     slowdown_model slowdowns_;
     std::string recorded_slowdowns_;
     instant next_slowdowns_{};
-    /// Expires with this object: answers that come later are dropped.
+    /// Expires with this object, so that late callbacks are dropped.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/cell/job_work.h
+++ b/src/cell/job_work.h
@@ -14,21 +14,21 @@
 
 struct occurrence_work;
 
-/// A step of one occurrence. Owned by its occurrence.
+/// State of one step of an occurrence. Owned by its occurrence.
 struct step_work {
     const step_spec* spec = nullptr;
     image_number image = 0;
     occurrence_work* occurrence = nullptr;
     std::uint32_t number = 0;
     std::vector<task_work> tasks;
-    /// Tasks that haven't ended well.
+    /// Tasks that have not succeeded yet.
     std::uint32_t left = 0;
-    /// Tasks that have a run.
+    /// Tasks that are assigned to a worker.
     std::uint32_t placed = 0;
-    /// All steps that it depends on have ended well.
+    /// All steps that it depends on have succeeded.
     bool ready = false;
     step_advice advice;
-    /// What runs that ended well took at full pace, the first ones.
+    /// Run times of the first successful runs, without the time lost to throttling.
     std::vector<duration> whole_times;
 };
 
@@ -39,50 +39,54 @@
     std::uint32_t steps_left = 0;
 };
 
-/// Whether callers can still have a job when they want it.
+/// Whether a job can still finish by its objective.
 enum class job_prospect {
     in_time,
-    /// Later, and still of use.
+    /// After the objective, but still useful.
     late,
     lost,
 };
 
-/// A job in the coordinator's hands.
+/// The coordinator's state of a job.
 struct job_work {
     job_id id;
     std::shared_ptr<const job_spec> spec;
-    /// As the configuration in force has them for the job's queue; as accepted when it is gone.
+    /// From the queue's current configuration; as accepted with the job if the queue no longer
+    /// exists.
     service_id service;
     std::uint32_t priority = 0;
     std::uint32_t attempts = 1;
     std::optional<advice_terms> advice;
     std::map<std::uint32_t, std::unique_ptr<occurrence_work>> occurrences;
-    /// Occurrences below this one have ended; those from `occurrences_made` on aren't due yet.
+    /// Occurrences below `occurrences_ended` have ended; those from `occurrences_made` on are not
+    /// due.
     std::uint32_t occurrences_ended = 0;
     std::uint32_t occurrences_made = 0;
     bool begun = false;
     job_phase phase = job_phase::open;
-    /// Workers to which runs of its short tasks may go (`job_entry::ordered_to`), and those of them
-    /// that the log has.
+    /// Workers on which runs of the job may be, other than of tasks with their own record
+    /// (`job_entry::ordered_to`), and those of them that the log has.
     worker_marks ordered_to;
     worker_marks recorded_to;
-    /// `ordered_to` has grown since it was last written.
+    /// `ordered_to` has changed since it was last written.
     bool widened = false;
-    /// It had begun when its records named no worker: a version that didn't record them wrote them.
+    /// The job had started, but its records name no worker: a version that did not record workers
+    /// wrote them, so any worker may have its runs.
     bool any_worker_in_doubt = false;
-    /// Its progress has changed since it was last written.
+    /// The job's progress has changed since it was last written.
     bool dirty = false;
-    /// Where the log has it: jobs of one priority are served in the order of acceptance.
+    /// Offset in the intake stream: jobs that are otherwise equal are served in the order of
+    /// acceptance.
     std::uint64_t intake_offset = 0;
-    /// When it was handed in; when this coordinator came to know it, if the job doesn't tell.
+    /// When the job was submitted; if it does not tell, when this coordinator first read it.
     instant came_at{};
-    /// When its callers want it done, by the submitter's guesses of run times.
+    /// When callers want the job done, by the submitter's run time estimates.
     instant objective_at{};
-    /// As last looked at (`outlook_of`): core-seconds.
+    /// Latest result of `outlook_of`; the remaining work is in core-seconds.
     job_prospect prospect = job_prospect::in_time;
     double work_left = 0;
     instant ended_at{};
-    /// An earlier coordinator may have started its tasks.
+    /// A predecessor may have started tasks of the job.
     bool may_run_elsewhere = false;
 
     std::uint32_t occurrence_count() const { return spec->repeats == 0 ? 1 : spec->repeats; }
--- a/src/cell/task_work.h
+++ b/src/cell/task_work.h
@@ -12,26 +12,26 @@
 struct worker_work;
 struct step_work;
 
-/// A task in the coordinator's hands. Owned by its step.
+/// The coordinator's state of a task. Owned by its step.
 struct task_work {
     job_work* job = nullptr;
     step_work* step = nullptr;
     std::uint32_t index = 0;
     task_progress progress;
-    /// The log has `progress.ordered_to`.
+    /// The log has the current value of `progress.ordered_to`.
     bool recorded = false;
-    /// The coordinator before has told that no run of it can be anywhere.
+    /// The predecessor reported that the task has no run anywhere.
     bool not_ordered = false;
-    /// Where `run` is; nothing when no run of the task can be anywhere.
+    /// Worker that `run` is assigned to; null if no run of the task can exist.
     worker_work* where = nullptr;
     task_run run;
-    /// Not before then: a pause after a failed run.
+    /// Backoff after a failed run: the task is not started before this time.
     instant not_before{};
-    /// The last workers on which runs failed, newest first: retries go elsewhere.
+    /// Workers on which the last runs failed or lagged, newest first; retries prefer other workers.
     std::array<worker_id, 4> failed_on;
-    /// Since when it has had no run, as far as this coordinator knows.
+    /// Since when the task has had no run, as far as this coordinator knows.
     instant down_since{};
-    /// How often it was moved because it stood still or lagged.
+    /// How often the task was moved because it made no progress or lagged.
     std::uint32_t moves = 0;
 };
 
--- a/src/cell/worker_work.h
+++ b/src/cell/worker_work.h
@@ -13,63 +13,64 @@
 
 struct task_work;
 
-/// A worker in the coordinator's hands.
+/// The coordinator's state of a worker.
 struct worker_work {
     worker_slot slot = 0;
     worker_listing listing;
     bool listed = false;
-    /// The life that reported last; 0 before the first report.
+    /// Incarnation that reported last, by its start time; 0 before the first report.
     std::uint64_t born_ms = 0;
     worker_clock clock;
-    /// The latest end of lease that was ever ordered, on the worker's clock.
+    /// Latest lease expiry that was ever ordered, by the worker's clock.
     std::int64_t latest_until_ms = 0;
-    /// The log says that this life may have tasks: a successor will ask it.
+    /// The log says that this incarnation may have tasks, so a successor will query it.
     bool registered = false;
     bool registering = false;
-    /// It has reported under this epoch: earlier epochs can order nothing there.
+    /// The worker has reported under this epoch, so it rejects orders of earlier ones.
     bool heard = false;
     bool hold_in_flight = false;
-    /// Holds in a row without an answer. Its lease isn't prolonged meanwhile.
+    /// Consecutive lease renewals without an answer. Until one is answered, the lease is not
+    /// extended.
     int unanswered = 0;
-    /// The log says that its lease isn't prolonged, or is about to: so it isn't.
+    /// The log says that the lease is not renewed, or that record is being written.
     bool silent = false;
     instant next_hold{};
     instant reported_at{};
-    /// A report had a run that its number doesn't tell.
+    /// A report had a run that its number does not identify: the next one must name the tasks.
     bool wants_names = false;
-    /// Reports taken in.
+    /// Number of reports that were processed.
     std::uint64_t reports = 0;
-    /// Since when its lease must have been over; none: it may not be.
+    /// Since when the lease is certain to have expired; zero: it may be valid.
     instant over_since{};
-    /// Ends up to `seen` were taken in, up to `noted` recorded in the log.
+    /// Ended runs up to number `seen` were processed, up to `noted` recorded in the log.
     std::uint64_t seen = 0;
     std::uint64_t noted = 0;
-    /// What the runs here take; of filling tasks the memory and accelerators only.
+    /// Resources allocated to runs here; of best-effort tasks only memory and accelerators.
     resources taken;
-    /// What runs here take that aren't wanted and haven't gone yet, by the last report; nothing
-    /// when that isn't known.
+    /// Resources of orphaned runs that are still here by the last report; nothing if unknown.
     std::optional<resources> strays = resources{};
-    /// Room that is left to lasting tasks which have no run, here or anywhere.
+    /// Resources reserved for service tasks that have no run on any worker.
     resources kept;
-    /// Processors that filling tasks here would use, thousandths.
+    /// CPU that best-effort tasks here request, in thousandths of a core.
     std::int64_t filling_cpu = 0;
-    /// Processors of lasting tasks here, thousandths; part of `taken`.
+    /// CPU that service tasks here request, in thousandths of a core; part of `taken`.
     std::int64_t lasting_cpu = 0;
     std::vector<task_work*> tasks;
-    /// No starts before then, after refusals or failures.
+    /// Quarantine after refusals or failures: no starts before this time.
     instant rest_until{};
-    /// Failed runs of different jobs without a good end between.
+    /// Consecutive failed runs of different jobs without a successful one between them.
     std::uint32_t failures_in_row = 0;
     job_id last_failed_job;
     sharing_control sharing;
-    /// For placement: what fills here at full speed, and how many tasks of each image serve here.
+    /// For placement: CPU share of each best-effort image at full speed, and number of tasks of
+    /// each latency-critical image.
     std::vector<image_share> filling_images;
     std::map<image_number, int> serving;
-    /// As `candidate_index` has it while the worker takes starts.
+    /// The worker's entry in the candidate index while it accepts starts.
     worker_offer offer;
-    /// Of its labels and its rack; the first ones of `offer.tags`.
+    /// Tags of the worker's labels and rack; the first ones of `offer.tags`.
     std::vector<tag_number> label_tags;
-    /// The search for candidates that met it last.
+    /// The last candidate search that visited this worker.
     std::uint64_t met_in_search = 0;
 };
 
