--- a/src/cell/cell_coordinator.cpp
+++ b/src/cell/cell_coordinator.cpp
@@ -8,13 +8,15 @@
 namespace figwinch {
 namespace {
 
-// Placement looks again at least this often for what time alone changes: rests, cold workers.
+// Maximum time between placement rounds, for conditions that change with time alone: quarantines,
+// cold workers.
 constexpr duration placement_period = std::chrono::milliseconds(100);
-// Leases, leaving workers and ended jobs are looked through this often.
-// What is learned changes slowly; a successor that starts from two seconds ago loses nothing.
+// Interval for recording learned slowdowns. They change slowly: a successor that starts from a
+// record that is two seconds old loses nothing.
 constexpr duration slowdowns_period = std::chrono::seconds(2);
-// Reports are up to a second apart.
+// Interval of the straggler check; reports of a worker are up to a second apart.
 constexpr duration stragglers_period = std::chrono::milliseconds(300);
+// Interval of the sweep over leases, leaving workers and ended jobs.
 constexpr duration sweep_period = std::chrono::milliseconds(100);
 
 } // namespace
@@ -28,8 +30,8 @@
 cell_coordinator::cell_coordinator(parts with, const cell_settings& settings, lease_epoch epoch,
                                    const predecessor& before, const cell_state& known)
     : with_(std::move(with)), settings_(settings), epoch_(epoch), began_(with_.time.now()) {
-    // What a predecessor held last lives for one more lease. A worker that the log says is silent
-    // was held no more when this reign began.
+    // A lease that a predecessor renewed last is valid for one more lease duration. A worker that
+    // the log records as unresponsive got no renewal after this term began.
     const auto over_after = [](duration lease) {
         return std::chrono::duration_cast<duration>(lease / slowest_clock) + lapse_slack;
     };
@@ -70,7 +72,8 @@
 void cell_coordinator::take_intake(const job_entry& entry) {
     job_work* const known = find_job(entry.id);
     if (known == nullptr) {
-        // A predecessor that doesn't know yet that it is one may take up jobs for a little longer.
+        // A predecessor that has not noticed yet that it was superseded may take up jobs for a
+        // little longer.
         const bool early = with_.time.now() - began_ < fresh_reign;
         return add_job(entry, early);
     }
@@ -132,7 +135,7 @@
     return counts;
 }
 
-/// For studies of load: tasks whose turn has come and that have no worker, by kind.
+/// Logs, for load analysis, how many tasks of ready steps have no worker, by task type.
 void cell_coordinator::log_waiting() const {
     std::int64_t filling = 0;
     std::int64_t lasting = 0;
@@ -140,7 +143,8 @@
     for (const job_work* const job : order_) {
         for (const auto& [number, occurrence] : job->occurrences) {
             for (const step_work& step : occurrence->steps) {
-                // Members of a gang that ended well are still placed until they have gone.
+                // Members of a gang that has succeeded stay assigned until their runs have stopped,
+                // so the difference can be negative.
                 const std::int64_t open = std::int64_t{step.left} - std::int64_t{step.placed};
                 const std::int64_t waiting = step.ready ? std::max<std::int64_t>(0, open) : 0;
                 (step.spec->filling ? filling : step.spec->lasting ? lasting : batch) += waiting;
@@ -151,7 +155,8 @@
               {{"filling", filling}, {"lasting", lasting}, {"batch", batch}});
 }
 
-/// Written when something was learned, in batches that go out anyway.
+/// Records the learned slowdowns if they have changed. The record is part of a batch that is
+/// written anyway.
 void cell_coordinator::record_slowdowns() {
     const instant now = with_.time.now();
     if (now < next_slowdowns_)
@@ -165,8 +170,9 @@
 }
 
 run_number cell_coordinator::next_run() {
-    // Runs of one epoch are counted in the low bits: a later epoch always numbers higher. 2^24
-    // starts are over an hour of the design size's peak, and 2^53 bounds what JSON carries exactly.
+    // The low bits count the runs of one epoch, so that a later epoch always assigns higher
+    // numbers. 2^24 starts take over an hour at the peak rate of the design size, and numbers up to
+    // 2^53 are exact in JSON.
     constexpr std::uint64_t runs_per_epoch_bits = 24;
     return run_number((epoch_.value() << runs_per_epoch_bits) + ++last_run_);
 }
--- a/src/cell/coordinator_advice.cpp
+++ b/src/cell/coordinator_advice.cpp
@@ -8,20 +8,20 @@
 namespace figwinch {
 namespace {
 
-// A call costs time for each worker that it names, and the advisor takes one at a time: enough for
-// a step of usual width and some that are refused.
+// Maximum number of workers in an advice request. Each worker costs time, and the advisor handles
+// one request at a time: enough for a step of usual width and some refusals.
 constexpr std::size_t most_asked = 30;
-// After a call without an answer, or one that was turned away.
+// Delay before the next advice request after one that was not answered or was rejected.
 constexpr duration ask_again = std::chrono::milliseconds(300);
-// Beyond what the terms say: calls of other hosts don't wait with ours, but the way and its
-// disturbances take their time.
+// Added to the response time that the queue's advice terms declare, for network delays. Requests of
+// other hosts do not queue with those of this one.
 constexpr duration advice_slack = std::chrono::milliseconds(700);
-// Workers that are known to be good go before those that may be refused.
+// Score bonus for workers that the advisor has approved, over those that it may refuse.
 constexpr double known_good_bonus = 100;
 
 } // namespace
 
-/// Whether a start of the task may be sent there as far as the queue's policy is concerned.
+/// Returns whether the queue's policy allows a start of the step's tasks on the worker.
 bool cell_coordinator::is_advised(const worker_work& worker, const job_work& job,
                                   const step_work& step) const {
     if (!job.advice)
@@ -29,7 +29,8 @@
     return step.advice.ticket(worker.listing.id, worker.born_ms, with_.time.now()) != nullptr;
 }
 
-/// The ticket that a start carries; it stands for the worker's present life from then on.
+/// Returns the advisor's ticket to send with a start order; binds it to the worker's current
+/// incarnation.
 std::string cell_coordinator::ticket_for(task_work& task, const worker_work& worker) const {
     if (!task.job->advice)
         return "";
@@ -40,8 +41,8 @@
     return ticket == nullptr ? "" : *ticket;
 }
 
-/// Asks about the workers on which the task would be placed next. One call at a time: the steps of
-/// the most urgent jobs come first by the order of placement.
+/// Asks the advisor about the workers on which the task would be placed next. One request at a
+/// time: placement order makes the steps of the most urgent jobs ask first.
 void cell_coordinator::ask_advice(job_work& job, const task_work& task) {
     const instant now = with_.time.now();
     if (!job.advice || advice_in_flight_ || now < next_advice_)
--- a/src/cell/coordinator_candidates.cpp
+++ b/src/cell/coordinator_candidates.cpp
@@ -7,15 +7,17 @@
 namespace figwinch {
 namespace {
 
-// Workers that admit a step's tasks, of which the best are taken: a hundred and more for a few
-// dozen tasks leave little to be gained by more.
+// A search stops after this many workers that can run the step's tasks. To choose the best of more
+// than a hundred gains little for a few dozen tasks.
 constexpr std::size_t most_candidates = 128;
-// Bounds a search where few workers admit the tasks.
+// Maximum number of workers that a search visits if few of them can run the tasks.
 constexpr std::size_t most_met = 512;
-// Of these, workers that serve the image of a serving step already.
+// Of these, the maximum number visited because they are near the step's data or already run its
+// latency-critical image.
 constexpr std::size_t most_met_tagged = 128;
 constexpr double failed_there_penalty = 10;
-// Reports of a worker at work are up to a second apart.
+// Maximum age of a report that shows a worker to be responsive; reports of a busy worker are up to
+// a second apart.
 constexpr duration just_reported = std::chrono::milliseconds(600);
 
 } // namespace
@@ -58,13 +60,13 @@
     return image_tags_[image];
 }
 
-/// The conditions of `usable` that don't pass by themselves.
+/// The conditions of `usable` that do not change with time alone.
 bool cell_coordinator::takes_starts(const worker_work& worker) const {
     return worker.listed && !worker.listing.leaving && worker.heard && worker.registered &&
            !worker.silent && !evacuated_.contains(worker.listing.data_centre);
 }
 
-/// Brings the index up to date with a worker.
+/// Updates the candidate index with the worker's current state.
 void cell_coordinator::offer(worker_work& worker) {
     if (!takes_starts(worker))
         return index_.remove(worker.slot);
@@ -74,8 +76,9 @@
     index_.put(worker.slot, worker.offer);
 }
 
-/// Workers that admit the step's tasks: a bounded number of those that have most room, or serve the
-/// same image, or of a sample where what counts is who is beside.
+/// Returns workers that can run the step's tasks. Visits a bounded number: those with the most free
+/// CPU, or that run the same image; for best-effort steps a sample, since the score depends on the
+/// tasks that share the worker.
 cell_coordinator::candidates cell_coordinator::search(const job_work& job, const step_work& step,
                                                       const rack_id& only_rack) {
     candidates found;
@@ -120,7 +123,7 @@
         index_.visit_tagged(job.service, image_tag(step.image), least, searches_, visit_tagged);
     if (!goes_on)
         return;
-    // Lasting tasks that fill are taken wherever their memory fits.
+    // Best-effort service tasks are placed wherever their memory fits.
     const std::int64_t least_left = spec.lasting ? 0 : spec.size.cpu_millis;
     if (spec.filling)
         index_.visit_fill(job.service, least_left, most_met, searches_, visit);
@@ -128,7 +131,7 @@
         index_.visit_free(job.service, least, searches_, visit);
 }
 
-/// Whether a failed search for one step says that one for another of its kind fails too.
+/// Returns whether a failed search for this step implies that searches for similar steps fail too.
 bool cell_coordinator::may_be_vain(const job_work& job, const step_work& step) {
     const step_spec& spec = *step.spec;
     return !spec.lasting && !spec.gang && spec.label.empty() && spec.near_rack.empty() &&
@@ -149,7 +152,8 @@
     return best_of(search(job, *task.step, only_rack), task);
 }
 
-/// While the log is silent nothing can be recorded; what is recorded already can be used.
+/// Chooses a worker that the log already names for the task. Used while the log does not answer,
+/// when no other worker can be recorded.
 worker_work* cell_coordinator::choose_recorded(const job_work& job, const task_work& task) {
     const step_work& step = *task.step;
     worker_work* best = nullptr;
@@ -183,7 +187,7 @@
     return best;
 }
 
-/// After a task of the step went to the worker.
+/// Updates the worker's score after a task of the step was placed on it; removes it if it is full.
 void cell_coordinator::renew_score(candidates& found, const worker_work& worker,
                                    const step_work& step) const {
     const auto known = std::ranges::find(found, &worker, &candidate::worker);
@@ -197,10 +201,10 @@
     found.pop_back();
 }
 
-/// A worker that was lost a moment ago still looks usable, and has room. A lasting task that is
-/// started there is down until that start can have no effect any more; so a task that has run
-/// before goes to a worker that has just reported, where there is one. First starts come many at a
-/// time and are spread over all workers.
+/// Returns whether a worker is likely to be responsive. One that was lost a moment ago still looks
+/// usable and has free resources, and a service task started there is down until the start order
+/// has expired. So a task that ran before prefers a worker that has just reported. First starts
+/// come many at a time and are spread over all workers.
 bool cell_coordinator::is_surely_there(const worker_work& worker, const task_work& task) const {
     if (!has_own_record(*task.step->spec) || task.progress.ordered_to.empty())
         return true;
--- a/src/cell/coordinator_jobs.cpp
+++ b/src/cell/coordinator_jobs.cpp
@@ -8,7 +8,7 @@
 namespace figwinch {
 namespace {
 
-// Callers may ask for a finished job's state for this much longer than promised.
+// How much longer than promised the state of a finished job is kept for callers.
 constexpr duration status_slack = std::chrono::seconds(30);
 
 bool all_done(const occurrence_work& occurrence, const std::vector<std::uint32_t>& steps) {
@@ -23,7 +23,7 @@
     });
 }
 
-/// The longest chain of steps by the submitter's guesses.
+/// Returns the longest chain of dependent steps by the submitter's estimates.
 duration longest_chain(const job_spec& spec) {
     std::vector<duration> ends;
     for (const step_spec& step : spec.steps) {
@@ -35,15 +35,15 @@
     return ends.empty() ? duration::zero() : *std::ranges::max_element(ends);
 }
 
-/// How long ago a job came. Wall clocks differ and may jump: never before now, and never longer ago
-/// than its state is kept.
+/// Returns how long ago a job was submitted. Wall clocks differ between hosts and may jump, so the
+/// age is limited to the range from zero to the retention time of job state.
 duration age_of(const job_spec& spec, wall_time now, duration longest) {
     if (spec.accepted_at == wall_time{})
         return duration::zero();
     return std::clamp<duration>(now - spec.accepted_at, duration::zero(), longest);
 }
 
-/// Whether progress names a worker for a task of its own.
+/// Returns whether the progress names a worker for any single task.
 bool names_a_worker(const job_progress& progress) {
     return std::ranges::any_of(progress.occurrences, [](const auto& occurrence) {
         return std::ranges::any_of(occurrence.second.steps, [](const auto& tasks) {
@@ -168,7 +168,7 @@
     job.service = queue != nullptr ? queue->service : job.spec->service;
     job.priority = queue != nullptr ? queue->priority : job.spec->priority;
     job.attempts = queue != nullptr ? queue->attempts : job.spec->attempts;
-    // Of a queue that is gone the terms last known stay.
+    // If the queue no longer exists, the last known advice terms stay in force.
     if (queue != nullptr)
         job.advice = queue->advice;
 }
@@ -273,7 +273,8 @@
 }
 
 void cell_coordinator::drop_job(job_work& job) {
-    // The acceptance goes first: a job that is accepted and has no progress would run again.
+    // The intake record is removed first: a job that has one but no progress record would run
+    // again.
     const job_id id = job.id;
     with_.forget(id, [this, weak = std::weak_ptr(alive_), id] {
         if (weak.expired())
--- a/src/cell/coordinator_leases.cpp
+++ b/src/cell/coordinator_leases.cpp
@@ -7,8 +7,8 @@
 namespace figwinch {
 namespace {
 
-// The platform lists a live worker again within two seconds after its store comes back; some more
-// heartbeats are left to it.
+// Once the platform's store has recovered, a live worker is listed again within two seconds; the
+// rest allows for several more heartbeats.
 constexpr duration unlisted_kept = std::chrono::seconds(15);
 
 } // namespace
@@ -25,10 +25,10 @@
     }
 }
 
-/// Whether the log has confirmed this reign since a lease must have been over. A coordinator that
-/// is parted from the log and from some workers sees their leases run out while its successor,
-/// which it doesn't know of, prolongs them: what it started elsewhere would run twice. A renewal
-/// that was confirmed later says that there was no successor.
+/// Returns whether the log has confirmed this leadership term since a lease expired. A coordinator
+/// that is disconnected from the log and from some workers sees their leases expire while a
+/// successor that it does not know of renews them; the tasks that it restarted would run twice. A
+/// later confirmation proves that there was no successor.
 bool cell_coordinator::is_settled(instant& since) const {
     if (since == instant{})
         since = with_.time.now();
@@ -39,14 +39,15 @@
     return with_.time.now() - with_.confirmed_at() < fresh_reign;
 }
 
-/// Whether a start may go by what is known of workers and operators. While the log answers, that
-/// may not be so old that notices have run out unseen. While it doesn't, no notice gets through.
+/// Returns whether a start may rely on the known notices of workers and operators. While the log
+/// answers, they must be recent enough that no notice period can have ended unseen. While it does
+/// not answer, no notice can be published either.
 bool cell_coordinator::sees_notices() const {
     return !log_confirms() || with_.sees_notices();
 }
 
-/// Its lease is over by any clock: nothing runs there but what a start that no report has shown may
-/// have brought about, under a lease of its own.
+/// Handles an expiry of the worker's lease that is certain by any clock. No runs are left there,
+/// except from start orders that no report has shown yet, which bring a lease of their own.
 void cell_coordinator::end_lease(worker_work& worker) {
     const worker_id& id = worker.listing.id;
     std::vector<task_work*> lost;
@@ -67,11 +68,11 @@
         worker.over_since = instant{};
         return;
     }
-    // It answers again and is being recorded: its removal would come behind that, and the log would
-    // not know a worker that is in use.
+    // The worker answers again and is being recorded. A removal would follow that record, and the
+    // log would not name a worker that is in use.
     if (worker.registering)
         return;
-    // A successor needn't ask it, nor wait for it.
+    // A successor need neither query the worker nor wait for it.
     if (!std::exchange(worker.registered, false))
         return;
     offer(worker);
@@ -102,8 +103,8 @@
     log_resolved();
 }
 
-/// Many workers report in the same moment: the marks are made anew once a round of starts. Marks of
-/// a worker that has reported meanwhile only add doubt.
+/// Rebuilds the marks of unresolved workers, once per placement round, since many workers report at
+/// the same moment. Marks of workers that have reported since only make the check stricter.
 void cell_coordinator::mark_unresolved() {
     if (marked_unresolved_ == unresolved_.size())
         return;
@@ -113,7 +114,7 @@
         unresolved_marks_.add(id);
 }
 
-/// One line when the last worker of earlier reigns is accounted for.
+/// Logs when the last worker of earlier leadership terms is accounted for.
 void cell_coordinator::log_resolved() const {
     if (!unresolved_.empty())
         return;
@@ -124,7 +125,7 @@
 }
 
 void cell_coordinator::resolve_expired() {
-    // Confirmed since the bound has passed, for the same reason as in `is_settled`.
+    // The log must have confirmed the term since then, for the reason given at `is_settled`.
     const instant confirmed = with_.confirmed_at();
     const auto is_over = [confirmed](const auto& worker) {
         const bool over = confirmed > worker.second;
@@ -138,9 +139,9 @@
     log_resolved();
 }
 
-/// Whether no earlier coordinator's run of the task can be anywhere but where reports show it. Only
-/// the workers that the log names can have one: others, that are dark for seconds, don't hold it
-/// back.
+/// Returns whether every run of the task from an earlier coordinator is known from reports or has
+/// expired. Only the workers that the log names for the task can have one, so it does not wait for
+/// other unresponsive workers.
 bool cell_coordinator::may_start(const task_work& task) const {
     if (unresolved_.empty() || !task.job->may_run_elsewhere || task.not_ordered)
         return true;
--- a/src/cell/coordinator_placement.cpp
+++ b/src/cell/coordinator_placement.cpp
@@ -9,18 +9,19 @@
 namespace figwinch {
 namespace {
 
-// Starts in one go; the rest follows at the next tick, so that reports are read in between.
+// Maximum number of starts per tick. The rest follows at the next tick, so that reports are
+// processed in between.
 constexpr std::size_t most_starts_at_once = 40;
-// Serving tasks of one image on one worker leave the others to the filling images that hurt them
-// less; worth more than an even spread.
+// Weights that group latency-critical tasks of one image on a worker, so that other workers are
+// left to the best-effort images that slow this image. Worth more than an even spread.
 constexpr double other_image_penalty = 1;
 constexpr double same_image_bonus = 1;
-// Filling work goes where the worst served neighbour is expected to stay within its target at this
-// much (a logarithm) above its mean load: half the way up its swing.
+// A best-effort task is placed where the worst affected latency-critical task is expected to stay
+// below this fraction of its latency target at this margin (a logarithm) above its mean load: half
+// of its load's swing.
 constexpr double usual_aim = 0.95;
 constexpr double usual_load_margin = 0.25;
-// One point of expected slowdown of a neighbour weighs as much as this share of a worker less to
-// run on.
+// One unit of expected slowdown of a neighbour weighs as much as this share of a worker's CPU.
 constexpr double slowdown_weight = 5;
 constexpr double cold_penalty = 1;
 constexpr double near_data_bonus = 2;
@@ -31,9 +32,9 @@
 
 } // namespace
 
-/// Lasting tasks that ran before go first. They have to run all the time, so that one that is down
-/// has been late for as long, and the room that they take was theirs. New ones go last: a short
-/// task gives its room back in seconds, a lasting one keeps it.
+/// Starts tasks in three passes. Service tasks that ran before come first: they have to run all the
+/// time, so each is late by its downtime, and the resources that they need were theirs. New service
+/// tasks come last: a batch task frees its resources in seconds, a service task keeps them.
 void cell_coordinator::place_all() {
     if (!sees_notices()) {
         placement_due_ = true;
@@ -51,7 +52,7 @@
         }
 }
 
-/// Steps whose turn it is and that have tasks without a run, in the order of jobs.
+/// Returns ready steps that have tasks without a run, in the scheduling order of their jobs.
 std::vector<cell_coordinator::waiting_step> cell_coordinator::waiting_steps() const {
     std::vector<waiting_step> waiting;
     for (job_work* const job : order_)
@@ -62,8 +63,8 @@
     return waiting;
 }
 
-/// Starts tasks whose turn it is. Returns whether all that can be started is, within `most` starts
-/// in all.
+/// Starts the tasks of one pass. Returns whether all that can start have been started before the
+/// total number of starts reached `most`.
 bool cell_coordinator::place_steps(const std::vector<waiting_step>& waiting, task_turn turn,
                                    std::uint64_t most) {
     const bool lasting = turn != task_turn::short_task;
@@ -82,7 +83,7 @@
 
 bool cell_coordinator::place_step(job_work& job, step_work& step, task_turn turn) {
     const instant now = with_.time.now();
-    // Of other steps all tasks are in the same doubt.
+    // Tasks of other steps share one record of workers, so either all of them or none may start.
     const bool each = has_own_record(*step.spec);
     const bool again = turn == task_turn::lasting_again;
     if (!each && !may_start(step.tasks.front()))
@@ -107,12 +108,12 @@
     return true;
 }
 
-/// Starts all members at once under one run, or none.
+/// Starts all members of a gang under one run number, or none.
 bool cell_coordinator::place_gang(job_work& job, step_work& step) {
     task_work& first = step.tasks.front();
     if (step.placed > 0 || with_.time.now() < first.not_before)
         return false;
-    // Members of a one-rack gang follow the first one's rack; each rack is tried once.
+    // The members of a one-rack gang must share a rack; each rack is tried once.
     absl::flat_hash_set<rack_id> racks;
     if (step.spec->one_rack)
         for (const auto& [id, worker] : workers_)
@@ -159,7 +160,7 @@
             return false;
         size.cpu_millis = 0;
     }
-    // Every dimension counts, on workers that refuse by themselves too.
+    // All dimensions are checked, even if the worker enforces its capacity itself.
     if (!worker.strays)
         return false;
     resources room = worker.listing.capacity - worker.taken - *worker.strays;
@@ -176,7 +177,7 @@
     return static_cast<std::uint32_t>(beside) < spec.most_per_worker;
 }
 
-/// How well a task of the step would do on a worker; higher is better.
+/// Returns the placement score of a step's task on a worker; higher is better.
 double cell_coordinator::score(const worker_work& worker, const step_work& step) const {
     const step_spec& spec = *step.spec;
     const resources& capacity = worker.listing.capacity;
@@ -196,7 +197,8 @@
     return value;
 }
 
-/// Serving tasks go where the others suffer from the same neighbours.
+/// Scores a latency-critical task higher where the other latency-critical tasks are slowed by the
+/// same best-effort images.
 double cell_coordinator::score_serving(const worker_work& worker, const step_work& step) const {
     double difference = 0;
     for (const auto& [image, tasks] : worker.serving)
@@ -205,7 +207,8 @@
     return (same ? same_image_bonus * (1 - difference) : 0) - difference * other_image_penalty;
 }
 
-/// Processors that are left to filling tasks, thousandths: lasting tasks rarely use all of theirs.
+/// Returns the CPU left to best-effort tasks, in thousandths of a core. Includes what service tasks
+/// have requested but rarely use.
 std::int64_t cell_coordinator::left_to_fill(const worker_work& worker) const {
     const auto unused =
         static_cast<std::int64_t>(static_cast<double>(worker.lasting_cpu) * (1 - lasting_use));
@@ -214,8 +217,8 @@
 }
 
 bool cell_coordinator::may_fill(const worker_work& worker, const step_work& step) const {
-    // A task that lasts has to run all the time, if slowly: others of its kind that have taken the
-    // processors never end, and it would wait for ever.
+    // A best-effort service task has to run all the time, if slowly. Others of its kind that have
+    // taken the CPU never end, so a wait for free CPU could last forever.
     if (step.spec->lasting)
         return true;
     if (left_to_fill(worker) < step.spec->size.cpu_millis)
@@ -240,8 +243,8 @@
     return share(left_to_fill(worker), cores) - more - slowdown_weight * worst;
 }
 
-/// Lasting tasks on a worker that is about to leave are started elsewhere while it still runs;
-/// others may finish there.
+/// Stops service tasks on workers that are about to leave, so that they are started elsewhere while
+/// the worker still runs; other tasks may finish there.
 void cell_coordinator::leave_leaving_workers() {
     for (const auto& [id, worker] : workers_) {
         if (!worker->listing.leaving)
--- a/src/cell/coordinator_records.cpp
+++ b/src/cell/coordinator_records.cpp
@@ -55,20 +55,21 @@
         {record_key(record_kind::progress, job.id.str()), encode_progress(progress_of(job)), 0});
 }
 
-/// Lasting tasks must run again soon when a reign ends, and are few: a worker is recorded for each.
-/// Of others the job records all workers that it uses. Members of a gang start and go together.
+/// Returns whether the log has a worker record for each task of the step. Service tasks have one,
+/// since they must restart soon after a change of coordinator and are few. For other tasks the job
+/// records all workers that it uses. Members of a gang start and end together.
 bool cell_coordinator::has_own_record(const step_spec& step) {
     return step.lasting && !step.gang;
 }
 
-/// Whether the log has it that the task's runs may be on the worker.
+/// Returns whether the log has a record that runs of the task may be on the worker.
 bool cell_coordinator::is_recorded_at(const task_work& task, const worker_work& worker) {
     if (!has_own_record(*task.step->spec))
         return task.job->recorded_to.may_have(worker.listing.id);
     return task.recorded && task.progress.ordered_to == worker.listing.id;
 }
 
-/// Has it written that the task's runs may be on the worker.
+/// Writes a record that runs of the task may be on the worker.
 void cell_coordinator::note_place(task_work& task, const worker_work& worker) {
     if (!has_own_record(*task.step->spec))
         return mark_widened(*task.job, worker);
@@ -77,7 +78,7 @@
     mark_dirty(*task.job);
 }
 
-/// Orders the starts of this round that wait for the log, in one batch.
+/// Sends the start orders of this round that wait for their records, in one batch.
 void cell_coordinator::order_when_recorded() {
     if (recording_.empty())
         return;
@@ -102,7 +103,7 @@
         task->job->recorded_to.add(worker.listing.id);
     if (task->run.now != task_run::phase::starting)
         return;
-    // The log may have been silent for seconds: by now the worker may be leaving.
+    // The log may not have answered for seconds: by now the worker may be leaving.
     if (!sees_notices())
         return give_back(*task, worker, "view_old", duration::zero());
     if (!usable(worker, *task->job))
--- a/src/cell/coordinator_reports.cpp
+++ b/src/cell/coordinator_reports.cpp
@@ -6,7 +6,8 @@
 namespace figwinch {
 namespace {
 
-// Jobs that a predecessor took up are read within its last second and one reading period.
+// How long after the start of a term a job that a predecessor took up in its last second may be
+// unread: that second and one reading interval.
 constexpr duration unread_job_wait = std::chrono::seconds(3);
 
 } // namespace
@@ -21,7 +22,7 @@
     }
     if (worker.seen == seen_before)
         return;
-    // A worker forgets an end once it is noted, so the log has to have it first.
+    // A worker discards an ended run once its end is acknowledged, so the log must have it first.
     write_dirty();
     with_.journal.barrier([this, weak = std::weak_ptr(alive_), id = worker.listing.id,
                            born = worker.born_ms, noted = worker.seen] {
@@ -56,8 +57,8 @@
     worker.strays = stray_size(worker, report, shown);
 }
 
-/// The task that a row of a worker's report names. Nearly all rows are of runs that are known to be
-/// there, which needs no look-up by name.
+/// Returns the task of a row in a worker's report. Nearly all rows show runs known to be there,
+/// which are found without a lookup by name.
 task_work* cell_coordinator::task_of(const worker_work& worker, const running_row& row) {
     task_work* found = nullptr;
     for (task_work* const task : worker.tasks) {
@@ -65,7 +66,7 @@
             continue;
         if (task->run.name == row.task)
             return task;
-        // Members of a gang have the same number.
+        // Members of a gang share one run number, so the number alone is ambiguous.
         if (row.task.empty() && found != nullptr)
             return nullptr;
         found = task;
@@ -81,7 +82,7 @@
     const bool wanted = task != nullptr && task->job->phase == job_phase::open &&
                         !task->progress.done && task->where == nullptr;
     if (wanted) {
-        // Started by a predecessor, or a start whose answer never came.
+        // Adopts a run that a predecessor started, or whose start order was not answered.
         task->run = task_run{};
         task->run.number = row.run;
         task->run.name = row.task;
@@ -90,16 +91,17 @@
         task->run.now = task_run::phase::running;
         task->run.settled_at = now;
         task->job->begun = true;
-        // What it was paced to isn't told.
+        // The report does not tell the CPU throttle of an adopted run.
         if (task->step->spec->filling)
             task->run.pace_set = task_run::pace_unknown;
         bind(*task, worker);
-        // The next successor looks for it where the log says.
+        // The next successor looks for the run on the workers that the log names.
         if (!is_recorded_at(*task, worker))
             note_place(*task, worker);
     }
-    // A predecessor that didn't know yet that it was one may have started a job that isn't read
-    // here yet: to stop it as a stray would lose its work, and the job would be started beside it.
+    // A predecessor that had not noticed yet that it was superseded may have started a job that has
+    // not been read here. Stopping the run as orphaned would lose its work, and the job would be
+    // started again beside it.
     if (task == nullptr && now - began_ < unread_job_wait)
         return;
     if (task == nullptr || task->where != &worker || task->run.number != row.run)
@@ -114,8 +116,8 @@
         run.checkpoint = row.checkpoint;
 }
 
-/// Gives up runs that the worker's report proves gone: the report was asked for after the last
-/// order about the run was answered, or the start can no longer take effect by the worker's clock.
+/// Releases runs that the worker's report proves gone: the report was requested after the last
+/// order about the run was answered, or the start order has expired by the worker's clock.
 void cell_coordinator::drop_missing(worker_work& worker, const worker_report& report,
                                     instant asked) {
     std::vector<task_work*> gone;
@@ -136,8 +138,9 @@
     }
 }
 
-/// What the rows of a report take that aren't runs of ours. They count until they have gone: what
-/// is being stopped still has its room. Nothing when a row's job isn't known.
+/// Returns the resources of reported runs that do not belong to this worker's tasks. They count
+/// until the runs have gone, also while they are being stopped. Returns nothing if the task of a
+/// run is unknown.
 std::optional<resources> cell_coordinator::stray_size(const worker_work& worker,
                                                       const worker_report& report,
                                                       const std::vector<const task_work*>& shown) {
--- a/src/cell/coordinator_room.cpp
+++ b/src/cell/coordinator_room.cpp
@@ -4,17 +4,18 @@
 
 namespace figwinch {
 
-/// Leaves room to lasting tasks that ran and have no run. Many short tasks make many small holes,
-/// each of which the next short task takes: a lasting task that needs more would wait as long as
-/// they keep coming, also one that may not start yet because its worker is in doubt. Where room is
-/// kept short tasks run out, and within seconds it is there.
+/// Reserves resources for service tasks that ran before and have no run. Many batch tasks leave
+/// many small gaps, each of which the next batch task takes, so that a service task which needs
+/// more would wait as long as they keep coming; so would one that may not start yet because its
+/// earlier run may still exist. On workers with a reservation the batch tasks finish without
+/// replacement, which frees the resources within seconds.
 void cell_coordinator::keep_room() {
     for (const auto& [id, worker] : workers_)
         worker->kept = {};
     const std::vector<const task_work*> waiting = lasting_without_run();
     if (waiting.empty())
         return;
-    // Workers by what is free on them, as far as lasting tasks leave enough.
+    // Workers by free CPU; those whose service tasks leave too little are skipped below.
     std::priority_queue<std::pair<std::int64_t, worker_work*>> by_room;
     for (const auto& [id, worker] : workers_)
         if (takes_starts(*worker))
--- a/src/cell/coordinator_runs.cpp
+++ b/src/cell/coordinator_runs.cpp
@@ -10,8 +10,8 @@
 constexpr duration rest_after_refusal = std::chrono::milliseconds(700);
 constexpr duration rest_without_room = std::chrono::milliseconds(300);
 constexpr duration pause_per_failure = std::chrono::milliseconds(100);
-// Three different jobs in a row failing on one worker: by chance, with one run in 30 failing, once
-// in 27,000 runs.
+// Failed runs of this many different jobs in a row put a worker in quarantine. If one run in 30
+// fails, three in a row happen by chance once in 27,000 runs.
 constexpr std::uint32_t failures_to_rest = 3;
 constexpr duration rest_after_failures = std::chrono::seconds(4);
 
@@ -22,8 +22,8 @@
 
 } // namespace
 
-/// Binds a task to a worker. The order to start goes out at once, or once the log has it where the
-/// run is to be.
+/// Assigns a task to a worker. The start order is sent at once, or once the log has a record that
+/// the run may be there.
 void cell_coordinator::start(task_work& task, worker_work& worker, run_number run,
                              const std::string& checkpoint) {
     task.run = task_run{};
@@ -73,8 +73,8 @@
                        });
 }
 
-/// Whether an order that waited unsent may still go out: the rest of its time is enough for its
-/// way, and nothing has come that would keep it from being given now.
+/// Returns whether a start order that was held back may still be sent: the rest of its validity is
+/// enough for delivery, and the start would still be allowed now.
 bool cell_coordinator::is_start_wanted(const task_name& name, run_number run, const worker_id& id,
                                        std::uint64_t born_ms) {
     const worker_work* const worker = find_worker(id);
@@ -130,7 +130,7 @@
     }
 }
 
-/// Brings what placement knows of a worker's images up to date with its tasks.
+/// Updates the worker's list of images, which placement uses, from its tasks.
 void cell_coordinator::list_images(worker_work& worker) {
     const auto cores = static_cast<double>(worker.listing.capacity.cpu_millis);
     worker.filling_images.clear();
@@ -146,7 +146,7 @@
     tag_images(worker);
 }
 
-/// A start that was refused: nothing of it is on the worker.
+/// Handles a refused start order. No run of it is on the worker.
 void cell_coordinator::give_back(task_work& task, worker_work& worker, std::string_view why,
                                  duration rest) {
     log_event(log_level::warn, "start_refused",
@@ -232,14 +232,14 @@
         request_stop(task);
     if (!task.step->spec->gang)
         return end_task(task);
-    // One member's good end stands for all.
+    // If one member of a gang succeeds, the whole gang has.
     for (task_work& member : task.step->tasks)
         end_task(member);
 }
 
 void cell_coordinator::take_failure(task_work& task, worker_work& worker, run_number run) {
     note_failure_of(worker, task.job->id);
-    // A gang fails as one: its failures are counted with its first member.
+    // A gang fails as a whole: its failures are counted with its first member.
     task_work& counted = task.step->spec->gang ? task.step->tasks.front() : task;
     std::vector<run_number>& failed = counted.progress.failed_runs;
     if (std::ranges::count(failed, run) > 0 || task.progress.done)
@@ -261,7 +261,7 @@
     worker.last_failed_job = job;
     if (worker.failures_in_row < failures_to_rest)
         return;
-    // After its rest one more failure sends it to rest again.
+    // After the quarantine one more failure is enough for the next one.
     worker.failures_in_row = failures_to_rest - 1;
     worker.rest_until = with_.time.now() + rest_after_failures;
     log_event(log_level::warn, "worker_rests", {{"worker", worker.listing.id.str()}});
--- a/src/cell/coordinator_sharing.cpp
+++ b/src/cell/coordinator_sharing.cpp
@@ -6,10 +6,12 @@
 namespace figwinch {
 namespace {
 
-// Busier than that the tails say nothing about the pairs: processors are short.
+// Maximum CPU utilisation at which slowdowns are learned: above it, tail latencies show the lack of
+// CPU rather than the interference between two images.
 constexpr double learn_below = 0.95;
 
-/// A run that is being stopped works on until its end, if it ever began.
+/// Returns whether the run uses CPU. A run that is being stopped works until its end, if it ever
+/// started.
 bool is_at_work(const worker_work& worker, const task_run& run) {
     if (run.now == task_run::phase::stopping)
         return run.shown_in == worker.reports;
@@ -18,7 +20,7 @@
 
 } // namespace
 
-/// For studies of sharing: what every task on a worker asked for, did and suffered.
+/// Logs, for analysis of CPU sharing, what each task on a worker requested, used and suffered.
 void cell_coordinator::log_sharing(const worker_work& worker) {
     std::string tasks;
     for (const task_work* const task : worker.tasks) {
@@ -77,7 +79,7 @@
         if (task->step->spec->filling)
             beside.push_back({task->step->image, share});
     }
-    // Where processors are short the tails say nothing about the pair.
+    // If the CPU is short, tail latencies say nothing about the interference between two images.
     if (busy > learn_below)
         return;
     for (const serving_view& served : serving)
--- a/src/cell/coordinator_step_down.cpp
+++ b/src/cell/coordinator_step_down.cpp
@@ -7,7 +7,7 @@
 namespace figwinch {
 namespace {
 
-// Of the names that go into one message.
+// Maximum number of task names in a step-down reply.
 constexpr std::size_t most_not_ordered = 1000;
 
 } // namespace
@@ -25,14 +25,15 @@
     return left;
 }
 
-/// Until a worker's lease, and each start that no report has shown, is over by the slowest clock.
+/// Returns the time until the worker's lease and all start orders that no report has shown have
+/// expired by the slowest clock; nothing if that is unknown.
 std::optional<duration> cell_coordinator::time_left(const worker_work& worker) const {
     const auto clock_ms = worker.clock.at_least(with_.time.now());
     if (!clock_ms)
         return std::nullopt;
     std::int64_t until_ms = worker.latest_until_ms;
     for (const task_work* const task : worker.tasks) {
-        // Ordered on the clock of an earlier life.
+        // The start order's expiry is on the clock of an earlier incarnation.
         if (task->run.start_until_ms == std::numeric_limits<std::int64_t>::max())
             return std::nullopt;
         until_ms = std::max(until_ms, task->run.may_live_until_ms);
@@ -54,14 +55,14 @@
     }
 }
 
-/// Whether the log may name a worker for the task on which no run of it can be.
+/// Returns whether the log may name a worker for the task although no run of it can be there.
 bool cell_coordinator::is_surely_not_ordered(const task_work& task) const {
     const bool ordered = task.where != nullptr && !task.run.name.empty();
     return !ordered && !task.progress.ordered_to.empty() && may_start(task);
 }
 
-/// What the predecessor knows of its own orders bounds them closer than the log does. A start that
-/// reached another life of a worker isn't bounded by times on the clock of the life before.
+/// Applies the predecessor's own account of its orders, which gives tighter bounds than the log.
+/// Times on the clock of one worker incarnation do not bound a start that reached another.
 void cell_coordinator::take_outstanding(const outstanding_orders& orders) {
     const instant now = with_.time.now();
     absl::flat_hash_map<worker_id, std::optional<duration>> left;
--- a/src/cell/coordinator_stops.cpp
+++ b/src/cell/coordinator_stops.cpp
@@ -7,12 +7,14 @@
 namespace {
 
 constexpr duration stop_retry = std::chrono::milliseconds(300);
-// A stop that was acknowledged shows in the worker's reports within its stop bound.
+// An acknowledged stop shows in the worker's reports within the worker's stop timeout; it is sent
+// again after this time.
 constexpr duration stop_again = std::chrono::milliseconds(1500);
-// An order without an answer may be carried out up to this long after it was sent.
+// A throttle order without an answer may take effect up to this long after it was sent.
 constexpr duration latest_pace = std::chrono::seconds(12);
-// While one may be, the pace is ordered anew so often. With one more lost answer on the way it is
-// in force within half of the time for which a serving task may be over its target.
+// Interval at which the throttle is sent again while an unanswered order may take effect. If one
+// more answer is lost, the throttle is in force within half of the time for which a
+// latency-critical task may exceed its target.
 constexpr duration pace_again = std::chrono::seconds(1);
 
 } // namespace
@@ -78,10 +80,11 @@
                       });
 }
 
-/// Orders a pace that isn't in force, or in doubt: an order without an answer may have been carried
-/// out, or may be after newer ones. Then a filling task works faster than is wanted, which shows as
-/// a serving task that stays over its target, or slower. The wanted pace is ordered anew until an
-/// order is answered that was sent when no earlier one can come any more: that one is the last.
+/// Sends the wanted CPU throttle if it is not in force, or if that is in doubt. An order without an
+/// answer may have taken effect, or may do so after newer ones. The best-effort task then runs
+/// slower than wanted, or faster, which shows as a latency-critical task that stays above its
+/// target. The order is repeated until one is answered that was sent after the last unanswered one
+/// can have taken effect.
 void cell_coordinator::send_pace(task_work& task) {
     task_run& run = task.run;
     const instant now = with_.time.now();
--- a/src/cell/coordinator_stragglers.cpp
+++ b/src/cell/coordinator_stragglers.cpp
@@ -6,17 +6,18 @@
 namespace figwinch {
 namespace {
 
-// A worker on which a run stood still or lagged gets nothing new for so long: its trouble lasts
-// some seconds as a rule, and whatever is placed there has to be moved again.
+// Quarantine of a worker on which a run made no progress or lagged. Such problems usually last some
+// seconds, and a run that is placed there meanwhile has to be moved again.
 constexpr duration rest_after_straggler = std::chrono::seconds(3);
-// More workers than this share can't all be slow: then it is the measure that is off.
+// No worker is put in quarantine for a straggler once one in this many is: if more look slow, the
+// measurement is off.
 constexpr std::size_t most_resting_share = 4;
-// A task that lags wherever it runs is left alone after so many moves.
+// A task that lags on every worker is left alone after this many moves.
 constexpr std::uint32_t most_moves = 3;
 constexpr std::size_t most_samples = 64;
 constexpr int full_pace = 100;
-// A run taken over from another coordinator has a pace that nobody tells, and so has one whose
-// order to pace got no answer.
+// Assumed throttle, in percent, of a run whose throttle is unknown: it was adopted from another
+// coordinator, or its throttle order got no answer.
 constexpr int unknown_pace = 50;
 
 run_progress progress_of(const task_work& task) {
@@ -26,7 +27,8 @@
 
 } // namespace
 
-/// Adds up for how long a run may have worked, from one report to the next.
+/// Updates a run's progress and working time from a report. A throttled run works less than the
+/// time that passes.
 void cell_coordinator::note_progress(task_run& run, int percent) const {
     const instant now = with_.time.now();
     const int pace = run.pace_set < 0 ? unknown_pace : run.pace_set;
@@ -43,13 +45,13 @@
         times.push_back(task.run.worked + (with_.time.now() - task.run.seen_at));
 }
 
-/// Moves runs that stand still, or that lag so far behind others of their step that a new one
-/// elsewhere would be done sooner.
+/// Moves runs that make no progress, or lag so far behind others of their step that a new run
+/// elsewhere would finish sooner.
 void cell_coordinator::move_stragglers() {
     for (job_work* const job : order_)
         for (const auto& [number, occurrence] : job->occurrences)
             for (step_work& step : occurrence->steps)
-                // Members of a gang work together; lasting tasks have no end to be late for.
+                // Members of a gang progress together; service tasks have no end to be late for.
                 if (step.placed > 0 && !step.spec->lasting && !step.spec->gang)
                     move_stragglers_of(step);
 }
--- a/src/cell/coordinator_view.cpp
+++ b/src/cell/coordinator_view.cpp
@@ -9,10 +9,10 @@
 namespace figwinch {
 namespace {
 
-// A page for people, not a dump: some screens full.
+// Maximum number of jobs in a view, which is for status pages: a few screens.
 constexpr std::size_t most_jobs_shown = 200;
 
-// A task that is to last and has no run for longer is told of, a line a period for all of them.
+// Service tasks without a run for longer than this are logged, in one line per period.
 constexpr duration lasting_wait_told = std::chrono::seconds(2);
 constexpr duration lasting_waits_period = std::chrono::seconds(1);
 
@@ -86,8 +86,8 @@
                {"waits_for", std::string(to_string(wait_of(*longest->job, *longest)))}});
 }
 
-/// How many tasks of a step have had no run for long; `longest` becomes the one that waits longest,
-/// of these and the one that it was.
+/// Counts the step's tasks that have had no run for long enough to be logged. Sets `longest` to the
+/// one that has waited longest, if it has waited longer than the previous value.
 std::int64_t cell_coordinator::count_down(const step_work& step, const task_work*& longest) const {
     const instant now = with_.time.now();
     std::int64_t waiting = 0;
@@ -101,7 +101,7 @@
     return waiting;
 }
 
-/// The same conditions as `usable`, told apart.
+/// Checks the conditions of `usable` one by one to tell which fails.
 worker_standing cell_coordinator::standing_of(const worker_work& worker) const {
     const instant now = with_.time.now();
     if (!worker.listed)
@@ -128,7 +128,7 @@
     return job_wait::earlier_steps;
 }
 
-/// Why a task whose turn has come has no worker.
+/// Returns why a task of a ready step has no worker.
 job_wait cell_coordinator::wait_of(const job_work& job, const task_work& task) const {
     if (!may_start(task))
         return job_wait::earlier_reign;
--- a/src/cell/coordinator_workers.cpp
+++ b/src/cell/coordinator_workers.cpp
@@ -10,16 +10,16 @@
 namespace figwinch {
 namespace {
 
-// How long a worker may wait for an end before it answers. With serving and filling tasks side by
-// side the answer is also the only sight of the serving tasks' tails, which are kept for half a
-// second.
+// How long a worker may wait for the end of a run before it answers a lease renewal. If
+// latency-critical and best-effort tasks share the worker, the answer is also the only source of
+// tail latencies, which the worker keeps for half a second.
 constexpr duration quiet_wait = std::chrono::milliseconds(1000);
 constexpr duration shared_wait = std::chrono::milliseconds(400);
-// One answer may get lost on its way; two in a row tell.
+// One answer may be lost; two lease renewals in a row without one mark the worker as unresponsive.
 constexpr int unanswered_to_tell = 2;
 constexpr duration hold_retry = std::chrono::milliseconds(150);
-// While ends wait for the log, a worker would answer at once with the same ends: ask again only to
-// keep its lease.
+// While ended runs wait to be recorded in the log, a worker would answer at once with the same
+// ones: it is asked only often enough to renew its lease.
 constexpr duration unnoted_pause = std::chrono::milliseconds(500);
 
 void log_worker(const worker_listing& row) {
@@ -90,11 +90,11 @@
     order.seen = worker.seen;
     order.born_ms = worker.born_ms;
     order.names = worker.wants_names;
-    // After a silence another life may answer, whose own ends count from 1 again: it must not
-    // forget ends that only the earlier life's were noted up to.
+    // After an unanswered renewal another incarnation may answer, whose ended runs are numbered
+    // from 1 again. It must not discard ends because those of the earlier one were recorded.
     order.noted = worker.unanswered == 0 ? worker.noted : 0;
-    // Prolonging the lease of a worker that doesn't answer would keep the tasks on it out of reach:
-    // the order may still arrive, and then they live on unseen.
+    // Renewing the lease of an unresponsive worker would delay the restart of its tasks: the order
+    // may still arrive, and the runs would continue unobserved.
     const auto clock_ms = worker.clock.at_least(now);
     if (clock_ms && !worker.silent && worker.unanswered == 0) {
         order.until_ms = *clock_ms + lease_to_ask(now).count() / 1000;
@@ -114,8 +114,9 @@
                       });
 }
 
-/// Shorter the longer the log hasn't confirmed this reign: a successor takes it that no lease ends
-/// later than one that was asked for `prolonging_limit` after the last confirmation.
+/// Returns the lease to request. It shrinks while the log does not confirm this term: a successor
+/// relies on no lease ending later than one that was requested `prolonging_limit` after the last
+/// confirmation.
 duration cell_coordinator::lease_to_ask(instant now) const {
     const duration beyond = now - (with_.confirmed_at() + prolonging_limit);
     return settings_.lease() - std::max(duration::zero(), beyond);
@@ -141,7 +142,8 @@
     if (worker->born_ms != report.born_ms)
         start_new_life(*worker, report);
     worker->clock.observe(report.clock_ms, now);
-    // A predecessor may have held it until this moment, but not after: its orders are refused now.
+    // A predecessor may have renewed the lease until now, but not later: the worker now rejects its
+    // orders.
     if (!std::exchange(worker->heard, true))
         worker->latest_until_ms =
             report.clock_ms + longest_held_before(id, report.born_ms).count() / 1000;
@@ -155,17 +157,17 @@
     offer(*worker);
 }
 
-/// Whether a worker's life isn't the one that predecessors held. An order to start that was for the
-/// life before may have reached this one, which then granted a whole lease: the order's end is a
-/// time on the other life's clock. Predecessors ordered nothing to workers that the log doesn't
-/// name.
+/// Returns whether a worker's incarnation differs from the one that predecessors granted a lease
+/// to. A start order for the earlier incarnation may have reached this one, which then granted a
+/// full lease: the order's expiry is a time on the clock of the other. Predecessors sent no orders
+/// to workers that the log does not name.
 bool cell_coordinator::is_other_life(const worker_id& id, std::uint64_t born_ms) const {
     const auto held = held_lives_.find(id);
     return born_ms != 0 && held != held_lives_.end() && held->second != born_ms;
 }
 
-/// How much longer a worker that reports first may be held by predecessors, or run what they
-/// started there.
+/// Returns how long leases and starts of predecessors may still last on a worker that reports for
+/// the first time.
 duration cell_coordinator::longest_held_before(const worker_id& id, std::uint64_t born_ms) const {
     if (!is_other_life(id, born_ms))
         return settings_.lease();
@@ -178,14 +180,15 @@
         log_event(log_level::info, "worker_reborn", {{"worker", worker.listing.id.str()}});
     worker.born_ms = report.born_ms;
     worker.clock = {};
-    // Orders that were on their way to the earlier life may reach this one.
+    // Orders sent to the earlier incarnation may reach this one.
     worker.heard = false;
     offer(worker);
     worker.seen = 0;
     worker.noted = 0;
     worker.failures_in_row = 0;
-    // Times on the clock of the life before say nothing on the new one: an unanswered start may
-    // still be carried out until a stop is acknowledged, and lives for a whole lease from then on.
+    // Times on the earlier incarnation's clock do not apply to the new one: an unanswered start
+    // order may take effect until a stop is acknowledged, and its run has a full lease from then
+    // on.
     const duration longest = start_validity + settings_.max_hold;
     for (task_work* const task : worker.tasks) {
         task_run& run = task->run;
@@ -206,8 +209,8 @@
                          encode_worker({worker.born_ms, true}), 0});
 }
 
-/// It answers again. A successor that still reads of its silence would wait too short a time, so
-/// its lease is prolonged only once the log says otherwise.
+/// The worker answers again. A successor that still reads that it is unresponsive would wait too
+/// short a time, so the lease is renewed only once the log says otherwise.
 void cell_coordinator::end_silence(worker_work& worker) {
     if (worker.registering)
         return;
