--- a/tests/cell/crowded_test.cpp
+++ b/tests/cell/crowded_test.cpp
@@ -6,7 +6,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The pattern: a cell that lasting tasks fill nearly to its room, while short jobs keep coming.
+/// A cell that service tasks nearly fill while batch jobs keep arriving.
 class crowded_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(crowded_test);
     CPPUNIT_TEST(short_tasks_go_before_first_starts_of_lasting_ones);
@@ -20,7 +20,7 @@
     }
 
 public:
-    /// Guards against urgent work that waits for ever behind tasks that never end.
+    /// Guards against urgent batch tasks that wait forever behind service tasks, which never end.
     void short_tasks_go_before_first_starts_of_lasting_ones() {
         begin();
         world_.submit(0, "old", lasting(12));
@@ -35,7 +35,7 @@
         all_run("new", 4);
         kept_the_rules();
     }
-    /// Guards against jobs that look new to each coordinator and so are never late.
+    /// Guards against a new coordinator that resets the age of jobs, so that they are never late.
     void jobs_keep_their_age_through_a_change_of_coordinator() {
         begin();
         world_.submit(0, "a", lasting(16));
--- a/tests/cell/lasting_recovery_test.cpp
+++ b/tests/cell/lasting_recovery_test.cpp
@@ -6,7 +6,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How soon tasks run again, or begin, after a change of coordinator or on full workers.
+/// How soon tasks start, or run again, after a change of coordinator or on full workers.
 class lasting_recovery_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(lasting_recovery_test);
     CPPUNIT_TEST(a_task_doesnt_wait_for_a_worker_that_never_had_it);
@@ -16,9 +16,9 @@
     CPPUNIT_TEST(a_short_job_doesnt_wait_for_a_worker_that_never_had_it);
     CPPUNIT_TEST_SUITE_END();
 
-    /// A lasting job comes. The log takes the workers of its tasks and its answer is lost, so that
-    /// no order goes out, and the coordinator's process ends and starts again. Then all tasks have
-    /// to run on the workers that are well.
+    /// Submits a service job. The log stores the workers of its tasks but its answer is lost, so
+    /// that no start order is sent; then the coordinator's process restarts. All tasks must run on
+    /// healthy workers within `longest_down`.
     void restart_before_the_first_order() {
         constexpr std::uint32_t tasks = 8;
         std::size_t orders = 0;
@@ -39,11 +39,10 @@
     }
 
 public:
-    /// Story: a worker goes dark, and seconds later the process of the coordinator ends and starts
-    /// again. Then a lasting task fails on another worker, which is well. It had no run for over 10
-    /// s, until the lease of the dark worker was over, which had never had it. The new reign
-    /// couldn't tell whose the dark worker's runs were and held back every task that it inherited:
-    /// `waits_for` said earlier_reign all the while, and the wait ended with that lease.
+    /// A worker becomes unreachable, the coordinator's process restarts seconds later, and then a
+    /// service task fails on another, healthy worker. Guards against a successor that cannot tell
+    /// whose runs the unreachable worker has and holds back every inherited task (with the reason
+    /// `earlier_reign`) until that worker's lease has expired, for over 10 s.
     void a_task_doesnt_wait_for_a_worker_that_never_had_it() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -64,10 +63,10 @@
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
         kept_the_rules();
     }
-    /// Story: a worker goes dark, and the coordinator finds it silent. A lasting job comes, and the
-    /// process of the coordinator ends and starts again when the workers of the job's tasks are in
-    /// the log, before any order. Tasks that were recorded for the dark worker, which was known to
-    /// be silent, had no run until its lease was over.
+    /// A worker becomes unreachable and is recorded as unresponsive. A service job arrives, and the
+    /// coordinator's process restarts once the workers of its tasks are recorded, before any start
+    /// order. Guards against tasks that wait for the lease of the unreachable worker because they
+    /// were recorded for it.
     void a_task_doesnt_wait_for_a_worker_that_was_silent_before_its_start() {
         begin();
         world_.fleet().workers.at("w1").cut = true;
@@ -77,17 +76,18 @@
         });
         restart_before_the_first_order();
     }
-    /// Story: the same, but the worker went dark a moment ago and the coordinator doesn't know yet.
-    /// A record without an order looks to the successor like one whose order went out.
+    /// Same, but the worker became unreachable so recently that the coordinator has not noticed.
+    /// Guards against a successor that takes a record without an order for one whose order was
+    /// sent.
     void a_task_doesnt_wait_for_a_worker_that_was_only_recorded() {
         begin();
         world_.fleet().workers.at("w1").cut = true;
         restart_before_the_first_order();
     }
-    /// Story: the workers are full and more jobs come than they can serve. A lasting task fails,
-    /// and each time a short task ends another short one, whose caller can still have it in time,
-    /// takes the room. Tasks were started in the order of their jobs' objectives, and that of a
-    /// lasting job is soon past.
+    /// The workers are full and more batch jobs arrive than they can run; then a service task
+    /// fails. Guards against batch tasks that take all resources which become free because their
+    /// callers can still have them in time: tasks were started in the order of their jobs'
+    /// objectives, and that of a service job is soon past.
     void a_task_runs_again_before_new_work_takes_the_room() {
         begin();
         world_.submit(0, "a", lasting(4));
@@ -109,10 +109,10 @@
         CPPUNIT_ASSERT(world_.watch().runs(failing));
         kept_the_rules();
     }
-    /// Story: a worker goes dark, jobs begin on the others, and the process of the coordinator ends
-    /// and starts again. Neither their next steps nor jobs that hadn't begun were started for over
-    /// 10 s, until the lease of the dark worker was over: nothing told the new reign that none of
-    /// their runs could be there.
+    /// A worker becomes unreachable, jobs start on the others, and the coordinator's process
+    /// restarts. Guards against a successor that starts neither the next steps of those jobs nor
+    /// new jobs until the lease of the unreachable worker has expired, for over 10 s, because
+    /// nothing tells it that their runs cannot be there.
     void a_short_job_doesnt_wait_for_a_worker_that_never_had_it() {
         begin();
         world_.submit(0, "a", lasting(8));
--- a/tests/cell/linked_loss_test.cpp
+++ b/tests/cell/linked_loss_test.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How soon a task runs again whose worker is lost at its start, where hosts pass orders on.
+/// How soon a task runs again if its worker is lost at its start, where hosts relay orders.
 class linked_loss_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(linked_loss_test);
     CPPUNIT_TEST(a_task_whose_worker_is_lost_at_its_start_runs_elsewhere);
@@ -18,7 +18,7 @@
     static constexpr std::size_t workers = 8;
     static constexpr std::uint32_t tasks = 8;
 
-    /// The worker of a start that is passed on is lost, and `then` follows.
+    /// Loses the worker of a relayed start order as the order is sent, then calls `then`.
     template <class Then>
     void lose_worker_at_a_start(const Then& then) {
         begin();
@@ -48,12 +48,12 @@
 public:
     linked_loss_test() : recovery_fixture(workers, true) {}
 
-    /// Guards against a start that is waited for as long as workers may grant because it was passed
-    /// on.
+    /// Guards against waiting for a relayed start order as long as the longest lease that workers
+    /// grant.
     void a_task_whose_worker_is_lost_at_its_start_runs_elsewhere() {
         lose_worker_at_a_start([] {});
     }
-    /// Guards against the same where the hosts that know over which connection it went are lost.
+    /// Same, where the relays that know over which connection the order went are lost too.
     void a_task_whose_worker_and_passing_hosts_are_lost_runs_elsewhere() {
         lose_worker_at_a_start([this] {
             const std::size_t leads = *world_.coordinator();
--- a/tests/cell/new_life_test.cpp
+++ b/tests/cell/new_life_test.cpp
@@ -6,7 +6,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How soon tasks of a lost worker run again whose life is new to the coordinator.
+/// How soon tasks of a lost worker run again if its incarnation is new to the coordinator.
 class new_life_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(new_life_test);
     CPPUNIT_TEST(a_start_of_an_earlier_life_isnt_waited_for_by_its_clock);
@@ -15,11 +15,12 @@
     CPPUNIT_TEST(tasks_of_a_worker_that_began_anew_out_of_reach_dont_wait_for_the_longest_lease);
     CPPUNIT_TEST_SUITE_END();
 
-    /// A lease of the 10 s that workers grant by the slowest clock, and a start's time before it.
+    /// The 10 s lease that workers grant, by the slowest clock, and the validity of a start order
+    /// before it.
     static constexpr duration longest_grant = milliseconds(12'000);
 
 public:
-    /// Guards against a bound on the clock of a worker's earlier life that is held against the
+    /// Guards against comparing an expiry on the clock of a worker's earlier incarnation with the
     /// clock of a later one.
     void a_start_of_an_earlier_life_isnt_waited_for_by_its_clock() {
         begin();
@@ -45,8 +46,8 @@
         all_run("a", 8);
         kept_the_rules();
     }
-    /// Guards against a new worker's tasks that are waited for as if a coordinator before had held
-    /// it for the longest lease.
+    /// Guards against waiting for the longest lease of a new worker as if a predecessor had granted
+    /// it one.
     void tasks_of_a_new_worker_run_again_within_its_lease() {
         begin();
         world_.fleet().is_kept = [](run_number) { return true; };
@@ -60,8 +61,8 @@
         all_run("a", 12);
         kept_the_rules();
     }
-    /// Guards against tasks that wait for the longest lease of a worker that began another life
-    /// under a coordinator that has outlived all that those before it started.
+    /// Guards against waiting for the longest lease of a restarted worker although the coordinator
+    /// has outlasted everything that its predecessors started.
     void tasks_of_a_worker_that_began_anew_run_again_within_its_lease() {
         begin();
         world_.kill_host(*world_.coordinator());
@@ -76,8 +77,8 @@
         all_run("a", 8);
         kept_the_rules();
     }
-    /// Guards against tasks of a worker that crashed, and is listed with another life but out of
-    /// reach, which wait for the longest lease after a change of coordinator.
+    /// Guards against waiting for the longest lease, after a change of coordinator, of a worker
+    /// that crashed and is listed with a new incarnation but unreachable.
     void tasks_of_a_worker_that_began_anew_out_of_reach_dont_wait_for_the_longest_lease() {
         begin();
         world_.submit(0, "a", lasting(8));
--- a/tests/cell/placement_rules_test.cpp
+++ b/tests/cell/placement_rules_test.cpp
@@ -8,8 +8,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Where tasks may run and where they had better: labels, racks, distance from each other. Two
-/// racks of two workers; the first worker of each rack carries the label "wide".
+/// Placement constraints and preferences: labels, racks, limits per worker. Two racks of two
+/// workers; the first worker of each rack has the label "wide".
 class placement_rules_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(placement_rules_test);
     CPPUNIT_TEST(tasks_run_only_where_their_label_is);
@@ -61,8 +61,8 @@
     }
 
 public:
-    /// Guards against a task on a worker without the label that it requires, also after that worker
-    /// is lost.
+    /// Guards against a task on a worker without the label that it requires, also after a worker
+    /// with the label is lost.
     void tasks_run_only_where_their_label_is() {
         place_workers();
         step_spec step = lasting_step(4, 500);
@@ -85,7 +85,8 @@
         submit("b", cell_world::make_step(2, 500));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.watch().starts);
     }
-    /// Guards against more tasks of a step on a worker than it allows, when others are full.
+    /// Guards against more tasks of a step on a worker than its limit allows when no other worker
+    /// is free.
     void tasks_of_a_step_keep_apart() {
         place_workers();
         step_spec step = lasting_step(6, 100);
@@ -97,7 +98,7 @@
         CPPUNIT_ASSERT((workers_of("a", 6) == std::vector<std::string>{"w0", "w2", "w3"}));
         kept_the_rules();
     }
-    /// Guards against a successor that doesn't count the runs it has found.
+    /// Guards against a successor that does not count the runs that it has adopted.
     void tasks_of_a_step_keep_apart_through_a_change_of_coordinator() {
         place_workers();
         step_spec step = lasting_step(6, 100);
@@ -115,7 +116,7 @@
         CPPUNIT_ASSERT((racks_of("a", 6) == std::set<std::string>{"r1"}));
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, workers_of("a", 6).size());
     }
-    /// Guards against tasks that wait for a rack while others have room.
+    /// Guards against tasks that wait for the preferred rack while others have free resources.
     void tasks_run_elsewhere_when_the_rack_of_their_data_is_full() {
         place_workers();
         step_spec step = lasting_step(12, 1000);
@@ -124,7 +125,8 @@
         all_run("a", 12);
         kept_the_rules();
     }
-    /// Guards against a gang that works at a fraction of its speed because it is on two racks.
+    /// Guards against a gang that runs at a fraction of its speed because it is split over two
+    /// racks.
     void a_gang_stays_on_one_rack() {
         place_workers();
         step_spec step = lasting_step(7, 1000);
@@ -137,7 +139,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, racks_of("b", 7).size());
         kept_the_rules();
     }
-    /// Guards against members of a gang on the rack that it had before.
+    /// Guards against members of a gang that restart on its previous rack, where they no longer fit
+    /// together.
     void a_gang_moves_to_the_other_rack_as_a_whole() {
         place_workers();
         step_spec step = lasting_step(7, 1000);
@@ -145,7 +148,7 @@
         submit("a", step);
         const std::string before = *racks_of("a", 7).begin();
         lose(before == "r0" ? "w1" : "w3");
-        // The members beside it end with those that are lost.
+        // When some members of a gang are lost, the others end too.
         sim_worker& left = worker(before == "r0" ? "w0" : "w2");
         for (std::uint32_t index = 0; index < 7; ++index)
             if (left.has(task("a", index)))
@@ -155,7 +158,7 @@
         CPPUNIT_ASSERT((racks_of("a", 7) == std::set<std::string>{before == "r0" ? "r1" : "r0"}));
         kept_the_rules();
     }
-    /// Guards against members that wait for others for which there is no room.
+    /// Guards against starting some members of a gang while there is no room for the others.
     void a_gang_doesnt_start_in_part() {
         place_workers();
         step_spec step = cell_world::make_step(9, 1000);
--- a/tests/cell/repeats_test.cpp
+++ b/tests/cell/repeats_test.cpp
@@ -6,7 +6,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Jobs whose steps run several times, each occurrence at its own time.
+/// Recurring jobs: their steps run several times, each occurrence at its own due time.
 class repeats_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(repeats_test);
     CPPUNIT_TEST(occurrences_start_when_they_are_due);
@@ -19,7 +19,8 @@
 
     static constexpr std::int64_t first_after_ms = 2000;
     static constexpr std::int64_t interval_ms = 1500;
-    /// How much earlier than due an occurrence may start, and how much later it may as a rule.
+    /// An occurrence must not have started this long before its due time, and must have started
+    /// this long after it.
     static constexpr std::int64_t early_ms = 250;
     static constexpr std::int64_t late_ms = 500;
 
@@ -37,14 +38,14 @@
     static std::string task_of(std::uint32_t occurrence, std::uint32_t step, std::uint32_t index) {
         return to_string(task_name{job_id("a"), occurrence, step, index});
     }
-    /// Runs up to this long after the job was handed in.
+    /// Runs the simulation until this long after the job was submitted.
     void run_to(std::int64_t after_ms) {
         world_.time().run_for(milliseconds(submitted_ms_ + after_ms - now_ms()));
     }
     bool begun(std::uint32_t occurrence) { return world_.watch().begun(task_of(occurrence, 0, 0)); }
 
 public:
-    /// Guards against occurrences before their time, and against ones that wait for the next look.
+    /// Guards against occurrences that start before they are due, or only at a later check.
     void occurrences_start_when_they_are_due() {
         begin();
         world_.submit(0, "a", repeated(3, {cell_world::make_step(2, 500)}));
@@ -59,7 +60,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.watch().starts);
         kept_the_rules();
     }
-    /// Guards against an occurrence that waits for the one before.
+    /// Guards against an occurrence that waits for the end of the previous one.
     void occurrences_overlap() {
         begin();
         step_spec step = cell_world::make_step(1, 500);
@@ -71,7 +72,7 @@
             CPPUNIT_ASSERT(world_.watch().runs(task_of(number, 0, 0)));
         kept_the_rules();
     }
-    /// Guards against a successor that counts occurrences from the beginning or forgets some.
+    /// Guards against a successor that counts occurrences from the beginning or skips some.
     void occurrences_go_on_after_a_change_of_coordinator() {
         begin();
         world_.submit(0, "a", repeated(5, {cell_world::make_step(2, 500)}));
@@ -84,7 +85,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, world_.watch().starts);
         kept_the_rules();
     }
-    /// Guards against occurrences that were due while all hosts were away and are left out.
+    /// Guards against skipping occurrences that became due while all hosts were down.
     void occurrences_that_were_missed_run_once_each() {
         begin();
         world_.submit(0, "a", repeated(3, {cell_world::make_step(1, 500)}));
@@ -100,7 +101,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, world_.watch().starts);
         kept_the_rules();
     }
-    /// Guards against a step that takes another occurrence's end for its own.
+    /// Guards against a step that starts because an earlier step ended in another occurrence.
     void steps_of_an_occurrence_keep_their_order() {
         begin();
         step_spec second = cell_world::make_step(2, 500);
--- a/tests/cell/step_down_test.cpp
+++ b/tests/cell/step_down_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t task_count = 8;
 
-/// What a successor learns from a coordinator that has lost the log and acts on.
+/// What a successor learns from a coordinator that has lost the log but continues to act.
 class step_down_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(step_down_test);
     CPPUNIT_TEST(a_coordinator_parted_from_the_log_ends_for_its_successor);
@@ -20,7 +20,7 @@
     CPPUNIT_TEST(outstanding_orders_pass_the_bus_unchanged);
     CPPUNIT_TEST_SUITE_END();
 
-    /// Begins with lasting tasks at work; returns the host that coordinates.
+    /// Starts service tasks and waits until they run; returns the host of the coordinator.
     std::size_t begin_with_tasks() {
         begin();
         world_.submit(0, "a", lasting(task_count));
@@ -31,14 +31,14 @@
     void part_from_log(std::size_t host) {
         world_.host(host)->way_to_log().state = sim_log::way::silent;
     }
-    /// The worker that the log names for the only task of job "b".
+    /// Returns the worker that the log names for the only task of job "b".
     worker_id recorded() {
         const auto job = decode_progress(record(record_kind::progress, "b"));
         const bool known = job && job->occurrences.contains(0);
         return known ? job->occurrences.at(0).steps.at(0).at(0).ordered_to : worker_id();
     }
-    /// The log takes a new task's worker, and the answer is lost. Then the worker is out of reach;
-    /// returns the task.
+    /// Submits a job of one task. The log stores the task's worker but its answer is lost, so that
+    /// no start order is sent; then the worker becomes unreachable. Returns the task.
     std::string record_without_order(std::size_t coordinator) {
         world_.host(coordinator)->way_to_log().lost_answers = 1;
         world_.submit((coordinator + 1) % world_.hosts(), "b", lasting(1));
@@ -50,8 +50,8 @@
 public:
     step_down_test() : recovery_fixture(3, true) {}
 
-    /// Guards against two coordinators that order side by side until the first one notices by
-    /// itself.
+    /// Guards against two coordinators that send orders at the same time until the first one
+    /// notices by itself that it was superseded.
     void a_coordinator_parted_from_the_log_ends_for_its_successor() {
         const std::size_t first = begin_with_tasks();
         part_from_log(first);
@@ -63,8 +63,8 @@
         CPPUNIT_ASSERT(world_.host(first)->member().coordinating() == nullptr);
         kept_the_rules();
     }
-    /// Guards against a successor that reckons with leases which its predecessor hasn't prolonged,
-    /// since the worker was silent before.
+    /// Guards against a successor that waits for leases which its predecessor did not renew because
+    /// the worker was already unresponsive.
     void tasks_of_a_lost_worker_dont_wait_for_a_coordinator_parted_from_the_log() {
         constexpr duration later = milliseconds(700);
         const std::size_t first = begin_with_tasks();
@@ -75,7 +75,7 @@
         all_run("a", task_count);
         kept_the_rules();
     }
-    /// Guards against a wait that begins again with each change of coordinator.
+    /// Guards against a wait for expired leases that starts again with each change of coordinator.
     void tasks_of_a_lost_worker_dont_wait_anew_for_each_coordinator() {
         constexpr duration first_parting = milliseconds(700);
         constexpr duration second_parting = milliseconds(4000);
@@ -91,7 +91,7 @@
         all_run("a", task_count);
         kept_the_rules();
     }
-    /// Guards against a task that waits for a worker on which it was only recorded.
+    /// Guards against a task that waits for a worker for which it was recorded but never ordered.
     void a_task_recorded_without_an_order_doesnt_wait_for_its_worker() {
         const std::size_t first = begin_with_tasks();
         const std::string waiting = record_without_order(first);
@@ -100,8 +100,8 @@
         CPPUNIT_ASSERT(world_.watch().runs(waiting));
         kept_the_rules();
     }
-    /// Guards against a coordinator that learns of its end from the log and forgets what it
-    /// ordered.
+    /// Guards against a coordinator that learns from the log that it was superseded and forgets
+    /// what it ordered.
     void a_coordinator_that_wakes_to_its_end_tells_what_it_ordered() {
         const std::size_t first = begin_with_tasks();
         const std::string waiting = record_without_order(first);
@@ -115,7 +115,7 @@
         CPPUNIT_ASSERT(world_.watch().runs(waiting));
         kept_the_rules();
     }
-    /// Guards against the same where nobody can tell that there was no order.
+    /// Same, where the predecessor is unreachable and cannot report that it sent no order.
     void a_task_recorded_without_an_order_by_a_coordinator_out_of_reach_runs_in_time() {
         const std::size_t first = begin_with_tasks();
         const std::string waiting = record_without_order(first);
--- a/tests/cell/worker_loss_test.cpp
+++ b/tests/cell/worker_loss_test.cpp
@@ -6,7 +6,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How soon tasks run again whose own worker is lost, and what records say of workers.
+/// How soon tasks of a lost worker run again, and what the log records of workers.
 class worker_loss_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(worker_loss_test);
     CPPUNIT_TEST(tasks_of_a_dark_worker_run_again_within_its_lease);
@@ -22,7 +22,7 @@
     CPPUNIT_TEST(room_is_kept_for_lasting_tasks_that_are_down);
     CPPUNIT_TEST_SUITE_END();
 
-    /// Takes the workers out of all progress records, as a version that didn't record them wrote.
+    /// Removes the workers from all progress records, as a version that did not record them wrote.
     void forget_recorded_workers() {
         sim_store::stream& progress = world_.store().of(cell_stream::progress);
         for (auto& [key, kept] : progress.newest) {
@@ -40,7 +40,7 @@
         world_.store().compact();
     }
 
-    /// A worker is lost, and `later` the coordinator's host, for good.
+    /// Loses a worker and, after `later`, the coordinator's host, for good.
     void lose_worker_and_coordinator(duration later) {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -54,8 +54,8 @@
     }
 
 public:
-    /// Story: a worker that grants leases of 10 s is lost for good. Its lasting tasks had no run
-    /// for 10 s, though the others had room.
+    /// A worker that grants leases of 10 s is lost for good. Guards against service tasks that are
+    /// down for 10 s although other workers have room.
     void tasks_of_a_dark_worker_run_again_within_its_lease() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -65,8 +65,8 @@
         all_run("a", 8);
         kept_the_rules();
     }
-    /// Story: as before, and the coordinator's process ends a second later and starts again. The
-    /// new reign waited for a whole lease from its own begin, 11 s from the loss.
+    /// Same, and the coordinator's process restarts a second later. Guards against a successor that
+    /// waits for a full lease from the start of its own term, 11 s from the loss.
     void tasks_of_a_dark_worker_run_again_after_a_change_of_coordinator() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -80,16 +80,16 @@
         all_run("a", 8);
         kept_the_rules();
     }
-    /// Guards against tasks of a lost worker that wait for all that a lost coordinator may have
-    /// done on its own.
+    /// Guards against tasks of a lost worker that wait for everything that a lost coordinator may
+    /// have done without the log.
     void tasks_of_a_dark_worker_run_again_after_the_coordinators_host_is_lost() {
         lose_worker_and_coordinator(seconds(1));
     }
-    /// Guards against the same where nobody has noticed yet that the worker is silent.
+    /// Same, where nobody has noticed yet that the worker is unresponsive.
     void tasks_of_a_worker_that_is_lost_with_the_coordinators_host_run_again() {
         lose_worker_and_coordinator(duration::zero());
     }
-    /// Guards against leases that end because the log is away for a while.
+    /// Guards against leases that expire because the log is unavailable for a while.
     void an_outage_of_the_log_ends_no_task() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -104,10 +104,10 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, world_.watch().starts);
         kept_the_rules();
     }
-    /// Story: a worker is lost, and a moment later a lasting task fails on another. It was started
-    /// again on the lost one, which had the most room and wasn't known to be silent, and had no run
-    /// until that start could have no effect any more, 10 s later: among workers that look usable
-    /// nothing preferred one that had just answered.
+    /// A worker is lost, and a moment later a service task fails on another. Guards against
+    /// restarting the task on the lost worker, which has the most free resources and is not known
+    /// to be unresponsive: the task was down until that start order had expired, 10 s later,
+    /// because placement did not prefer workers that had just answered.
     void a_task_isnt_started_again_on_a_worker_that_has_just_gone() {
         begin();
         world_.submit(0, "a", lasting(7));
@@ -126,7 +126,8 @@
         CPPUNIT_ASSERT(world_.watch().runs(failing));
         kept_the_rules();
     }
-    /// Guards against a start without an answer that is waited for as long as workers may grant.
+    /// Guards against waiting for an unanswered start order as long as the longest lease that
+    /// workers grant.
     void a_task_whose_worker_is_lost_at_its_start_runs_elsewhere_in_time() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -142,7 +143,7 @@
         all_run("a", 8);
         kept_the_rules();
     }
-    /// Guards against the same where only the life that was meant can have got the start.
+    /// Same, where only the intended incarnation of the worker can have received the start order.
     void a_task_whose_start_reached_one_life_at_most_waits_for_the_lease_only() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -159,8 +160,8 @@
         all_run("a", 8);
         kept_the_rules();
     }
-    /// Story: lasting tasks that fill have all processors that others leave, for good. One more had
-    /// no run for ever, though what fills doesn't count against a worker's processors.
+    /// Best-effort service tasks have taken all spare CPU for good. Guards against one more such
+    /// task that waits forever, though best-effort tasks do not count against a worker's CPU.
     void lasting_tasks_that_fill_dont_wait_for_processors() {
         begin();
         job_spec filling = lasting(5);
@@ -171,9 +172,9 @@
         all_run("a", 5);
         kept_the_rules();
     }
-    /// Story: all hosts are replaced by a newer version while a worker is dark. The version before
-    /// didn't record workers, and none recorded was taken for none used: the dark worker's tasks
-    /// were started elsewhere while they ran there.
+    /// All hosts are replaced by a newer version while a worker is unreachable; the earlier version
+    /// did not record workers. Guards against taking a missing record for unused workers: the tasks
+    /// of the unreachable worker were started elsewhere while they ran there.
     void records_without_workers_leave_every_worker_in_doubt() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -191,9 +192,9 @@
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
         kept_the_rules();
     }
-    /// Story: a worker is lost, and while its lasting tasks wait for its lease, short ones take all
-    /// other room. Later each room that got free was as small as the short task that had ended, and
-    /// the lasting tasks had no run for as long as short ones kept coming.
+    /// A worker is lost, and while its service tasks wait for its lease to expire, batch tasks take
+    /// all other resources. Guards against service tasks that are down as long as batch tasks keep
+    /// arriving: each gap was only as large as the batch task that had ended.
     void room_is_kept_for_lasting_tasks_that_are_down() {
         begin();
         job_spec large = lasting(2);
--- a/tests/cell/worker_notice_test.cpp
+++ b/tests/cell/worker_notice_test.cpp
@@ -6,7 +6,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What a coordinator may start on workers and data centres that have given notice.
+/// What a coordinator may start on workers that will leave and in data centres that are evacuated.
 class worker_notice_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(worker_notice_test);
     CPPUNIT_TEST(nothing_starts_on_a_worker_whose_notice_cant_be_read);
@@ -38,7 +38,7 @@
 
 public:
     /// Guards against starts on a worker that left seconds ago, by a coordinator whose copy of the
-    /// list of workers has stopped while the log confirms its reign.
+    /// worker list is no longer updated while the log confirms its term.
     void nothing_starts_on_a_worker_whose_notice_cant_be_read() {
         begin_with_load();
         coordinators_log().unreadable = cell_stream::workers;
@@ -54,7 +54,7 @@
         CPPUNIT_ASSERT(last_start_["w2"] > readable);
         kept_the_rules();
     }
-    /// Guards against the same for operators' notices.
+    /// Same, for notices of operators.
     void nothing_starts_in_a_data_centre_whose_evacuation_cant_be_read() {
         begin_with_load();
         coordinators_log().unreadable = cell_stream::operators;
@@ -66,8 +66,8 @@
         CPPUNIT_ASSERT(last_start_["w1"] < notice + cell_settings().evacuation_notice);
         kept_the_rules();
     }
-    /// Guards against a start that waited for the host's link and goes out to a worker that is
-    /// known to leave.
+    /// Guards against a start order that waited for the host's connection and is sent to a worker
+    /// that is known to be leaving.
     void a_start_that_waits_unsent_isnt_sent_once_the_notice_is_read() {
         constexpr duration read_within = milliseconds(300);
         begin_with_load();
@@ -82,7 +82,7 @@
         CPPUNIT_ASSERT(last_start_["w2"] > notice + seconds(1));
         kept_the_rules();
     }
-    /// Guards against starts that use the link and arrive when they have no effect any more.
+    /// Guards against start orders that use bandwidth although they arrive after their expiry.
     void a_start_that_waits_too_long_unsent_isnt_sent() {
         hold_starts_unsent(milliseconds(900));
         begin_with_load();
--- a/tests/cell/worker_record_test.cpp
+++ b/tests/cell/worker_record_test.cpp
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// That the log names every worker that may have tasks.
+/// The log must name every worker that may have tasks.
 class worker_record_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(worker_record_test);
     CPPUNIT_TEST(a_worker_that_comes_back_while_the_log_is_slow_stays_recorded);
@@ -25,10 +25,10 @@
     }
 
 public:
-    /// Story: a worker is dark for seconds and answers again while the log takes no progress. Its
-    /// return waits to be recorded when its lease is over, and behind it its removal. The
-    /// coordinator used the worker again, the log didn't know it, and the next reign started its
-    /// tasks a second time.
+    /// A worker is unreachable for seconds and answers again while the log accepts no progress
+    /// records. Its return waits to be recorded when its lease expires. Guards against writing the
+    /// removal of its record after that: the coordinator used the worker again, the log did not
+    /// name it, and the next coordinator started its tasks a second time.
     void a_worker_that_comes_back_while_the_log_is_slow_stays_recorded() {
         world_.time().run_for(seconds(2));
         sim_log& log = world_.host(*world_.coordinator())->way_to_log();
