--- a/include/figwinch/cell/coordinator.h
+++ b/include/figwinch/cell/coordinator.h
@@ -40,7 +40,7 @@
 /// host's daemon.
 class coordinator {
 public:
-    /// Dependencies of a coordinator; they must outlive it.
+    /// Interfaces and callbacks that a coordinator works with; they must outlive it.
     struct parts {
         const clock& time;
         worker_orders& orders;
@@ -59,9 +59,9 @@
         std::function<void(const job_id&, std::function<void()> done)> forget;
     };
 
-    /// What is known of earlier leadership terms.
+    /// What a new coordinator knows of the leadership terms before its own.
     struct predecessor {
-        /// The predecessor ended its term voluntarily.
+        /// The previous coordinator ended its leadership term voluntarily.
         bool resigned = false;
         /// No predecessor sent an order after this time.
         instant acted_until{};
--- a/include/figwinch/cell/coordinator_view.h
+++ b/include/figwinch/cell/coordinator_view.h
@@ -31,7 +31,7 @@
     earlier_steps,
     /// Runs from the previous leadership term may exist on workers that have not reported yet.
     earlier_reign,
-    /// Backoff after a failed run.
+    /// The job's tasks wait for the backoff after a failed run.
     pause_after_failure,
     /// No worker of the job's service is usable.
     no_worker,
--- a/include/figwinch/cell/step_down.h
+++ b/include/figwinch/cell/step_down.h
@@ -16,7 +16,7 @@
     /// The incarnation of the process that is asked, and the epoch of its term.
     incarnation_id holder;
     lease_epoch epoch;
-    /// Epoch of the term that follows.
+    /// Epoch of the leadership term that follows.
     lease_epoch successor;
 };
 
@@ -37,11 +37,11 @@
 };
 
 std::string encode_step_down_request(const step_down_request& request);
-/// Returns nothing if the bytes are not a valid request.
+/// Decodes a step-down request; returns nothing if the bytes are not a valid one.
 std::optional<step_down_request> decode_step_down_request(std::string_view bytes);
 
-/// `orders` is nothing if the host that was asked does not hold that term, or has not coordinated
-/// in it.
+/// Encodes the answer to a step-down request. `orders` is nothing if the host that was asked does
+/// not hold that leadership term, or has not coordinated in it.
 std::string encode_outstanding(const std::optional<outstanding_orders>& orders);
 std::optional<outstanding_orders> decode_outstanding(std::string_view bytes);
 
--- a/src/cell/cell_coordinator.h
+++ b/src/cell/cell_coordinator.h
@@ -249,7 +249,7 @@
     candidate_index index_;
     std::vector<worker_work*> slots_;
     std::vector<worker_slot> unused_slots_;
-    /// Index tag of each image, by image number.
+    /// Tag of each image in the candidate index, by image number.
     std::vector<tag_number> image_tags_;
     std::uint64_t searches_ = 0;
     std::vector<vain_search> vain_searches_;
@@ -277,7 +277,7 @@
     instant next_sweep_{};
     instant next_stragglers_{};
     instant next_lasting_waits_{};
-    /// At most one advice request is in flight.
+    /// At most one request to the placement advisor is in flight.
     bool advice_in_flight_ = false;
     instant next_advice_{};
     coordinator_counts counts_;
--- a/src/cell/coordinator_candidates.cpp
+++ b/src/cell/coordinator_candidates.cpp
@@ -12,8 +12,8 @@
 constexpr std::size_t most_candidates = 128;
 // Maximum number of workers that a search visits if few of them can run the tasks.
 constexpr std::size_t most_met = 512;
-// Of these, the maximum number visited because they are near the step's data or already run its
-// latency-critical image.
+// Maximum number of workers that a search visits because they are near the step's data or already
+// run its latency-critical image.
 constexpr std::size_t most_met_tagged = 128;
 constexpr double failed_there_penalty = 10;
 // Maximum age of a report that shows a worker to be responsive; reports of a busy worker are up to
--- a/src/cell/coordinator_leases.cpp
+++ b/src/cell/coordinator_leases.cpp
@@ -72,7 +72,7 @@
     // log would not name a worker that is in use.
     if (worker.registering)
         return;
-    // A successor need neither query the worker nor wait for it.
+    // The worker's record is removed: a successor need neither query the worker nor wait for it.
     if (!std::exchange(worker.registered, false))
         return;
     offer(worker);
--- a/src/cell/coordinator_runs.cpp
+++ b/src/cell/coordinator_runs.cpp
@@ -261,7 +261,7 @@
     worker.last_failed_job = job;
     if (worker.failures_in_row < failures_to_rest)
         return;
-    // After the quarantine one more failure is enough for the next one.
+    // After the quarantine one more failure on the worker is enough for the next quarantine.
     worker.failures_in_row = failures_to_rest - 1;
     worker.rest_until = with_.time.now() + rest_after_failures;
     log_event(log_level::warn, "worker_rests", {{"worker", worker.listing.id.str()}});
--- a/src/cell/coordinator_stragglers.cpp
+++ b/src/cell/coordinator_stragglers.cpp
@@ -9,8 +9,8 @@
 // Quarantine of a worker on which a run made no progress or lagged. Such problems usually last some
 // seconds, and a run that is placed there meanwhile has to be moved again.
 constexpr duration rest_after_straggler = std::chrono::seconds(3);
-// No worker is put in quarantine for a straggler once one in this many is: if more look slow, the
-// measurement is off.
+// No worker is put in quarantine for a straggler once one in this many workers is in quarantine: if
+// more look slow, the measurement is off.
 constexpr std::size_t most_resting_share = 4;
 // A task that lags on every worker is left alone after this many moves.
 constexpr std::uint32_t most_moves = 3;
--- a/src/cell/coordinator_workers.cpp
+++ b/src/cell/coordinator_workers.cpp
@@ -90,8 +90,9 @@
     order.seen = worker.seen;
     order.born_ms = worker.born_ms;
     order.names = worker.wants_names;
-    // After an unanswered renewal another incarnation may answer, whose ended runs are numbered
-    // from 1 again. It must not discard ends because those of the earlier one were recorded.
+    // After an unanswered lease renewal another incarnation of the worker may answer, whose ended
+    // runs are numbered from 1 again. It must not discard ends because those of the earlier
+    // incarnation were recorded.
     order.noted = worker.unanswered == 0 ? worker.noted : 0;
     // Renewing the lease of an unresponsive worker would delay the restart of its tasks: the order
     // may still arrive, and the runs would continue unobserved.
@@ -180,7 +181,7 @@
         log_event(log_level::info, "worker_reborn", {{"worker", worker.listing.id.str()}});
     worker.born_ms = report.born_ms;
     worker.clock = {};
-    // Orders sent to the earlier incarnation may reach this one.
+    // Orders sent to the worker's earlier incarnation may reach the new one.
     worker.heard = false;
     offer(worker);
     worker.seen = 0;
--- a/src/cell/job_work.h
+++ b/src/cell/job_work.h
@@ -21,18 +21,18 @@
     occurrence_work* occurrence = nullptr;
     std::uint32_t number = 0;
     std::vector<task_work> tasks;
-    /// Tasks that have not succeeded yet.
+    /// Tasks of the step that have not succeeded yet.
     std::uint32_t left = 0;
-    /// Tasks that are assigned to a worker.
+    /// Tasks of the step that are assigned to a worker.
     std::uint32_t placed = 0;
-    /// All steps that it depends on have succeeded.
+    /// All steps that this step depends on have succeeded.
     bool ready = false;
     step_advice advice;
     /// Run times of the first successful runs, without the time lost to throttling.
     std::vector<duration> whole_times;
 };
 
-/// One pass over the steps of a job. Owned by its job.
+/// One pass over the steps of a job; a recurring job has several. Owned by its job.
 struct occurrence_work {
     std::uint32_t number = 0;
     std::vector<step_work> steps;
@@ -42,7 +42,7 @@
 /// Whether a job can still finish by its objective.
 enum class job_prospect {
     in_time,
-    /// After the objective, but still useful.
+    /// The job can finish only after its objective, but is still useful then.
     late,
     lost,
 };
--- a/src/cell/task_run.h
+++ b/src/cell/task_run.h
@@ -13,7 +13,7 @@
 /// gone.
 struct task_run {
     enum class phase {
-        /// Ordered, but the worker has not confirmed it.
+        /// The start order was issued, but the worker has not confirmed the run.
         starting,
         running,
         /// To be stopped; stop orders are repeated until the worker reports that the run is gone.
@@ -27,8 +27,8 @@
     std::uint64_t shown_in = 0;
     phase now = phase::starting;
     instant ordered_at{};
-    /// Since when no order about the run is in flight. A report requested later that does not show
-    /// the run proves that it is gone.
+    /// Since when no order about the run is in flight. A worker's report that was requested later
+    /// and does not show the run proves that it is gone.
     std::optional<instant> settled_at;
     /// When an unanswered start order expires, by the worker's clock.
     std::int64_t start_until_ms = 0;
@@ -44,7 +44,7 @@
     duration worked{};
     duration worked_at_change{};
     instant seen_at{};
-    /// As in the worker's newest report: tail latency in ms of a latency-critical task, CPU use in
+    /// From the worker's newest report: tail latency in ms of a latency-critical task, CPU use in
     /// thousandths of a core of any other.
     std::int64_t recent = 0;
     /// Of a latency-critical task: the load from its own users, and its tail latency.
--- a/src/cell/worker_work.h
+++ b/src/cell/worker_work.h
@@ -38,9 +38,9 @@
     instant reported_at{};
     /// A report had a run that its number does not identify: the next one must name the tasks.
     bool wants_names = false;
-    /// Number of reports that were processed.
+    /// Number of reports of the worker that were processed.
     std::uint64_t reports = 0;
-    /// Since when the lease is certain to have expired; zero: it may be valid.
+    /// Since when the worker's lease is certain to have expired; zero: it may be valid.
     instant over_since{};
     /// Ended runs up to number `seen` were processed, up to `noted` recorded in the log.
     std::uint64_t seen = 0;
--- a/tests/cell/lasting_recovery_test.cpp
+++ b/tests/cell/lasting_recovery_test.cpp
@@ -76,9 +76,9 @@
         });
         restart_before_the_first_order();
     }
-    /// Same, but the worker became unreachable so recently that the coordinator has not noticed.
-    /// Guards against a successor that takes a record without an order for one whose order was
-    /// sent.
+    /// A worker becomes unreachable and the coordinator's process restarts before it has noticed,
+    /// when tasks are recorded for the worker but not ordered. Guards against a successor that
+    /// takes a record without an order for one whose order was sent.
     void a_task_doesnt_wait_for_a_worker_that_was_only_recorded() {
         begin();
         world_.fleet().workers.at("w1").cut = true;
--- a/tests/cell/linked_loss_test.cpp
+++ b/tests/cell/linked_loss_test.cpp
@@ -53,7 +53,8 @@
     void a_task_whose_worker_is_lost_at_its_start_runs_elsewhere() {
         lose_worker_at_a_start([] {});
     }
-    /// Same, where the relays that know over which connection the order went are lost too.
+    /// Guards against waiting for a relayed start order as long as the longest lease that workers
+    /// grant, where the relays that know over which connection it went are lost too.
     void a_task_whose_worker_and_passing_hosts_are_lost_runs_elsewhere() {
         lose_worker_at_a_start([this] {
             const std::size_t leads = *world_.coordinator();
--- a/tests/cell/step_down_test.cpp
+++ b/tests/cell/step_down_test.cpp
@@ -115,7 +115,8 @@
         CPPUNIT_ASSERT(world_.watch().runs(waiting));
         kept_the_rules();
     }
-    /// Same, where the predecessor is unreachable and cannot report that it sent no order.
+    /// Guards against a task that waits for a worker for which it was recorded but never ordered,
+    /// where the predecessor is unreachable and cannot report that it sent no order.
     void a_task_recorded_without_an_order_by_a_coordinator_out_of_reach_runs_in_time() {
         const std::size_t first = begin_with_tasks();
         const std::string waiting = record_without_order(first);
--- a/tests/cell/worker_loss_test.cpp
+++ b/tests/cell/worker_loss_test.cpp
@@ -65,8 +65,9 @@
         all_run("a", 8);
         kept_the_rules();
     }
-    /// Same, and the coordinator's process restarts a second later. Guards against a successor that
-    /// waits for a full lease from the start of its own term, 11 s from the loss.
+    /// A worker is lost for good, and the coordinator's process restarts a second later. Guards
+    /// against a successor that waits for a full lease from the start of its own term, 11 s from
+    /// the loss.
     void tasks_of_a_dark_worker_run_again_after_a_change_of_coordinator() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -85,7 +86,8 @@
     void tasks_of_a_dark_worker_run_again_after_the_coordinators_host_is_lost() {
         lose_worker_and_coordinator(seconds(1));
     }
-    /// Same, where nobody has noticed yet that the worker is unresponsive.
+    /// Guards against tasks of a lost worker that wait for everything that a lost coordinator may
+    /// have done without the log, where nobody has noticed yet that the worker is unresponsive.
     void tasks_of_a_worker_that_is_lost_with_the_coordinators_host_run_again() {
         lose_worker_and_coordinator(duration::zero());
     }
@@ -143,7 +145,8 @@
         all_run("a", 8);
         kept_the_rules();
     }
-    /// Same, where only the intended incarnation of the worker can have received the start order.
+    /// Guards against waiting for an unanswered start order as long as the longest lease, where
+    /// only the intended incarnation of the worker can have received the order.
     void a_task_whose_start_reached_one_life_at_most_waits_for_the_lease_only() {
         begin();
         world_.submit(0, "a", lasting(8));
--- a/tests/cell/worker_notice_test.cpp
+++ b/tests/cell/worker_notice_test.cpp
@@ -54,7 +54,8 @@
         CPPUNIT_ASSERT(last_start_["w2"] > readable);
         kept_the_rules();
     }
-    /// Same, for notices of operators.
+    /// Guards against starts in a data centre that is evacuated, by a coordinator whose copy of the
+    /// operators' notices is no longer updated.
     void nothing_starts_in_a_data_centre_whose_evacuation_cant_be_read() {
         begin_with_load();
         coordinators_log().unreadable = cell_stream::operators;
