--- a/bench/cell_coordinator.cpp
+++ b/bench/cell_coordinator.cpp
@@ -52,8 +52,8 @@
             world.time().run_for(measured / measured_s);
         }
         const coordinator_counts after = world.host(0)->member().coordinating()->counts();
-        const auto calls =
-            static_cast<double>(after.starts + after.holds - before.starts - before.holds);
+        const auto calls = static_cast<double>(after.starts + after.lease_renewals - before.starts -
+                                               before.lease_renewals);
         out.add("processor", size, (processor_seconds() - begun) / measured_s * 1e6, "us/s");
         out.add("calls", size, calls / measured_s, "calls/s");
         out.add("heap", size, static_cast<double>(heap_bytes()) - heap_before, "bytes");
--- a/bench/cell_worker_list.cpp
+++ b/bench/cell_worker_list.cpp
@@ -79,8 +79,8 @@
         {time, platform, platform, journal, [&time] { return time.now(); }, [] { return true; },
          [] {}, [](const job_id&, const std::function<void()>&) {}},
         {}, lease_epoch(1), {}, known);
-    coordinates->take_listing(list.rows());
-    return median_seconds(runs, [&] { coordinates->take_listing(list.rows()); }) * 1e6;
+    coordinates->update_workers(list.rows());
+    return median_seconds(runs, [&] { coordinates->update_workers(list.rows()); }) * 1e6;
 }
 
 } // namespace
--- a/include/figwinch/cell/coordinator.h
+++ b/include/figwinch/cell/coordinator.h
@@ -21,13 +21,13 @@
     std::size_t open_jobs = 0;
     std::size_t running = 0;
     std::size_t workers = 0;
-    std::size_t workers_silent = 0;
+    std::size_t workers_unresponsive = 0;
     /// Workers on which a predecessor may have started tasks and that have not reported yet.
     std::size_t workers_unresolved = 0;
     std::uint64_t starts = 0;
     std::uint64_t stops = 0;
-    std::uint64_t holds = 0;
-    std::uint64_t paces = 0;
+    std::uint64_t lease_renewals = 0;
+    std::uint64_t throttle_orders = 0;
     std::uint64_t advice_calls = 0;
     /// Runs that were moved to another worker because they made no progress or lagged behind.
     std::uint64_t stragglers = 0;
@@ -41,22 +41,22 @@
 class coordinator {
 public:
     /// Interfaces and callbacks that a coordinator works with; they must outlive it.
-    struct parts {
+    struct dependencies {
         const clock& time;
         worker_orders& orders;
         worker_advisor& advisor;
-        progress_writer& journal;
+        progress_writer& progress_log;
         /// Returns when the newest leadership renewal that the log has confirmed was requested. No
         /// other host had claimed leadership by then.
         std::function<instant()> confirmed_at;
         /// Returns whether the known notices of workers and operators are recent enough that a
         /// start ordered now cannot violate one.
-        std::function<bool()> sees_notices;
+        std::function<bool()> has_current_notices;
         /// Called when a worker reports a higher epoch than this coordinator's.
-        std::function<void()> deposed;
+        std::function<void()> on_superseded;
         /// Removes a job that ended long ago from the intake stream; calls `done` once the log has
         /// the removal.
-        std::function<void(const job_id&, std::function<void()> done)> forget;
+        std::function<void(const job_id&, std::function<void()> done)> remove_intake_record;
     };
 
     /// What a new coordinator knows of the leadership terms before its own.
@@ -66,23 +66,23 @@
         /// No predecessor sent an order after this time.
         instant acted_until{};
         /// No predecessor requested a lease that ends later than one full lease after this time.
-        instant prolonged_until{};
+        instant renewed_until{};
     };
 
     /// `epoch` is the epoch of the new coordinator's leadership term.
-    static std::unique_ptr<coordinator> create(parts with, const cell_settings& settings,
+    static std::unique_ptr<coordinator> create(dependencies deps, const cell_settings& settings,
                                                lease_epoch epoch, const predecessor& before,
                                                const cell_state& known);
     virtual ~coordinator() = default;
 
     /// Applies the configuration, at the start of the term and after each change.
-    virtual void take_config(const cell_config& config) = 0;
+    virtual void apply_config(const cell_config& config) = 0;
     /// Sets the data centres in which no run may be started.
-    virtual void take_evacuated(absl::flat_hash_set<data_centre_id> data_centres) = 0;
+    virtual void update_evacuated(absl::flat_hash_set<data_centre_id> data_centres) = 0;
     /// Applies the platform's complete list of workers.
-    virtual void take_listing(const std::vector<worker_listing>& listing) = 0;
+    virtual void update_workers(const std::vector<worker_listing>& listing) = 0;
     /// Applies a job that was accepted or cancelled.
-    virtual void take_intake(const job_entry& job) = 0;
+    virtual void apply_intake(const job_entry& job) = 0;
     /// Performs all work that is due. To be called every few milliseconds.
     virtual void tick() = 0;
 
@@ -90,7 +90,7 @@
     /// now.
     virtual outstanding_orders outstanding() const = 0;
     /// Applies what the predecessor reported when it stepped down.
-    virtual void take_outstanding(const outstanding_orders& orders) = 0;
+    virtual void apply_outstanding(const outstanding_orders& orders) = 0;
 
     virtual coordinator_counts counts() const = 0;
     virtual coordinator_view view() const = 0;
--- a/include/figwinch/cell/coordinator_view.h
+++ b/include/figwinch/cell/coordinator_view.h
@@ -9,7 +9,7 @@
 namespace figwinch {
 
 /// Whether a worker gets new tasks, and if not, why.
-enum class worker_standing {
+enum class worker_status {
     usable,
     /// The platform no longer lists the worker.
     unlisted,
@@ -24,7 +24,7 @@
 };
 
 /// Why a job has unfinished tasks that have no worker.
-enum class job_wait {
+enum class wait_reason {
     /// No task of the job is waiting.
     none,
     /// The next steps depend on running ones, or the next occurrence is not due yet.
@@ -44,14 +44,14 @@
     advice,
 };
 
-std::string_view to_string(worker_standing standing);
-std::string_view to_string(job_wait wait);
+std::string_view to_string(worker_status status);
+std::string_view to_string(wait_reason wait);
 
 /// A worker as the coordinator sees it.
 struct worker_view {
     worker_id id;
     data_centre_id data_centre;
-    worker_standing standing = worker_standing::usable;
+    worker_status status = worker_status::usable;
     std::size_t tasks = 0;
     resources free;
 };
@@ -63,10 +63,10 @@
     std::uint32_t priority = 0;
     std::size_t running = 0;
     std::size_t waiting = 0;
-    job_wait waits_for = job_wait::none;
+    wait_reason waits_for = wait_reason::none;
     /// Time since the job was submitted, or since the coordinator first read it if that is not
     /// known.
-    duration known_for{};
+    duration age{};
 };
 
 /// Snapshot of a coordinator's state for status pages: all workers, and the open jobs in scheduling
--- a/include/figwinch/cell/reign.h
+++ b/include/figwinch/cell/reign.h
@@ -68,13 +68,13 @@
     /// Who held the reign before this one; nothing when it resigned or there was none.
     const std::optional<reign_view>& predecessor() const { return predecessor_; }
     /// Until when coordinators before this reign may have acted: up to their resignation, or for
-    /// `silence_limit` after their last record.
+    /// `max_unconfirmed_leadership` after their last record.
     instant predecessors_acted_until() const { return acted_until_; }
-    /// Until when they may have prolonged leases in full: as above, with `prolonging_limit`.
+    /// Until when they may have prolonged leases in full: as above, with `full_renewal_limit`.
     instant predecessors_prolonged_until() const { return prolonged_until_; }
     /// When the newest confirmation of this reign was asked for.
     instant confirmed_at() const { return confirmed_at_; }
-    /// Whether the log has confirmed this reign within `fresh_reign`.
+    /// Whether the log has confirmed this reign within `max_confirmation_age`.
     bool is_fresh() const;
     const std::optional<reign_view>& current() const { return current_; }
     /// Whether the log's last answer to this host was an answer.
--- a/include/figwinch/cell/step_down.h
+++ b/include/figwinch/cell/step_down.h
@@ -21,16 +21,16 @@
 };
 
 /// A worker on which runs of an ended leadership term may exist.
-struct held_worker {
+struct unresolved_worker {
     worker_id id;
     /// Time until all leases and start orders of the term have expired on this worker, even by the
     /// slowest clock; nothing: unknown.
-    std::optional<duration> left;
+    std::optional<duration> expires_in;
 };
 
 /// What a leadership term leaves behind when it ends. Its coordinator sends no orders after that.
 struct outstanding_orders {
-    std::vector<held_worker> held;
+    std::vector<unresolved_worker> unresolved_workers;
     /// Names of service tasks that cannot have a run from this term or an earlier one on any
     /// worker.
     std::vector<std::string> not_ordered;
--- a/src/cell/cell_coordinator.cpp
+++ b/src/cell/cell_coordinator.cpp
@@ -21,29 +21,31 @@
 
 } // namespace
 
-std::unique_ptr<coordinator> coordinator::create(parts with, const cell_settings& settings,
+std::unique_ptr<coordinator> coordinator::create(dependencies deps, const cell_settings& settings,
                                                  lease_epoch epoch, const predecessor& before,
                                                  const cell_state& known) {
-    return std::make_unique<cell_coordinator>(std::move(with), settings, epoch, before, known);
+    return std::make_unique<cell_coordinator>(std::move(deps), settings, epoch, before, known);
 }
 
-cell_coordinator::cell_coordinator(parts with, const cell_settings& settings, lease_epoch epoch,
-                                   const predecessor& before, const cell_state& known)
-    : with_(std::move(with)), settings_(settings), epoch_(epoch), began_(with_.time.now()) {
+cell_coordinator::cell_coordinator(dependencies deps, const cell_settings& settings,
+                                   lease_epoch epoch, const predecessor& before,
+                                   const cell_state& known)
+    : deps_(std::move(deps)), settings_(settings), epoch_(epoch),
+      term_started_at_(deps_.time.now()) {
     // A lease that a predecessor renewed last is valid for one more lease duration. A worker that
     // the log records as unresponsive got no renewal after this term began.
     const auto over_after = [](duration lease) {
-        return std::chrono::duration_cast<duration>(lease / slowest_clock) + lapse_slack;
+        return std::chrono::duration_cast<duration>(lease / min_clock_rate) + lease_expiry_slack;
     };
-    whole_leases_over_ = before.acted_until + over_after(settings_.max_hold);
+    longest_leases_expired_at_ = before.acted_until + over_after(settings_.max_granted_lease);
     for (const auto& [id, worker] : known.workers()) {
-        const instant prolonged_until =
-            worker.silent ? std::min(began_, before.prolonged_until) : before.prolonged_until;
-        unresolved_[id] = std::max(prolonged_until + over_after(settings_.lease()),
+        const instant renewed_until =
+            worker.silent ? std::min(term_started_at_, before.renewed_until) : before.renewed_until;
+        unresolved_[id] = std::max(renewed_until + over_after(settings_.lease()),
                                    before.acted_until + over_after(start_validity));
-        held_lives_[id] = worker.born_ms;
+        leased_incarnations_[id] = worker.born_ms;
     }
-    mark_unresolved();
+    update_unresolved_marks();
     slowdowns_.restore(known.slowdowns());
     for (const auto& [id, entry] : known.jobs())
         add_job(entry, true);
@@ -54,62 +56,63 @@
                {"predecessor_resigned", before.resigned}});
 }
 
-void cell_coordinator::take_config(const cell_config& config) {
+void cell_coordinator::apply_config(const cell_config& config) {
     config_ = config;
     for (const auto& [id, job] : jobs_)
-        apply_queue(*job);
+        apply_queue_config(*job);
     sort_due_ = true;
     placement_due_ = true;
 }
 
-void cell_coordinator::take_evacuated(absl::flat_hash_set<data_centre_id> data_centres) {
+void cell_coordinator::update_evacuated(absl::flat_hash_set<data_centre_id> data_centres) {
     evacuated_ = std::move(data_centres);
     for (const auto& [id, worker] : workers_)
-        offer(*worker);
+        update_index(*worker);
     placement_due_ = true;
 }
 
-void cell_coordinator::take_intake(const job_entry& entry) {
-    job_work* const known = find_job(entry.id);
+void cell_coordinator::apply_intake(const job_entry& entry) {
+    job_state* const known = find_job(entry.id);
     if (known == nullptr) {
         // A predecessor that has not noticed yet that it was superseded may take up jobs for a
         // little longer.
-        const bool early = with_.time.now() - began_ < fresh_reign;
-        return add_job(entry, early);
+        const bool may_have_earlier_runs =
+            deps_.time.now() - term_started_at_ < max_confirmation_age;
+        return add_job(entry, may_have_earlier_runs);
     }
-    job_work& job = *known;
+    job_state& job = *known;
     if (entry.cancel_wanted && job.phase == job_phase::open)
         end_job(job, job_phase::cancelled);
     write_dirty();
 }
 
 void cell_coordinator::tick() {
-    if (deposed_)
+    if (superseded_)
         return;
-    const instant now = with_.time.now();
-    hold_due();
+    const instant now = deps_.time.now();
+    send_due_renewals();
     send_stops();
     if (now >= next_sweep_) {
         next_sweep_ = now + sweep_period;
         expire_leases();
         resolve_expired();
-        leave_leaving_workers();
-        keep_room();
-        forget_gone_workers();
+        drain_leaving_workers();
+        update_reservations();
+        remove_unlisted_workers();
         drop_ended_jobs();
-        for (job_work* const job : order_)
+        for (job_state* const job : open_jobs_)
             make_due_occurrences(*job);
-        for (job_work* const job : order_)
-            look_ahead(*job);
+        for (job_state* const job : open_jobs_)
+            update_outlook(*job);
         sort_due_ = true;
         record_slowdowns();
         if (now >= next_stragglers_) {
             next_stragglers_ = now + stragglers_period;
             move_stragglers();
         }
-        log_lasting_waits();
+        log_waiting_service_tasks();
         if (current_log_level() == log_level::debug)
-            log_waiting();
+            log_waiting_tasks();
     }
     if (std::exchange(sort_due_, false))
         sort_jobs();
@@ -124,28 +127,29 @@
 
 coordinator_counts cell_coordinator::counts() const {
     coordinator_counts counts = counts_;
-    counts.open_jobs = order_.size();
+    counts.open_jobs = open_jobs_.size();
     counts.workers = workers_.size();
     counts.workers_unresolved = unresolved_.size();
-    const instant now = with_.time.now();
+    const instant now = deps_.time.now();
     for (const auto& [id, worker] : workers_) {
         counts.running += worker->tasks.size();
-        counts.workers_silent += now - worker->reported_at > std::chrono::seconds(2) ? 1 : 0;
+        counts.workers_unresponsive += now - worker->reported_at > std::chrono::seconds(2) ? 1 : 0;
     }
     return counts;
 }
 
 /// Logs, for load analysis, how many tasks of ready steps have no worker, by task type.
-void cell_coordinator::log_waiting() const {
+void cell_coordinator::log_waiting_tasks() const {
     std::int64_t filling = 0;
     std::int64_t lasting = 0;
     std::int64_t batch = 0;
-    for (const job_work* const job : order_) {
+    for (const job_state* const job : open_jobs_) {
         for (const auto& [number, occurrence] : job->occurrences) {
-            for (const step_work& step : occurrence->steps) {
+            for (const step_state& step : occurrence->steps) {
                 // Members of a gang that has succeeded stay assigned until their runs have stopped,
                 // so the difference can be negative.
-                const std::int64_t open = std::int64_t{step.left} - std::int64_t{step.placed};
+                const std::int64_t open =
+                    std::int64_t{step.unfinished} - std::int64_t{step.assigned};
                 const std::int64_t waiting = step.ready ? std::max<std::int64_t>(0, open) : 0;
                 (step.spec->filling ? filling : step.spec->lasting ? lasting : batch) += waiting;
             }
@@ -158,7 +162,7 @@
 /// Records the learned slowdowns if they have changed. The record is part of a batch that is
 /// written anyway.
 void cell_coordinator::record_slowdowns() {
-    const instant now = with_.time.now();
+    const instant now = deps_.time.now();
     if (now < next_slowdowns_)
         return;
     next_slowdowns_ = now + slowdowns_period;
@@ -166,7 +170,7 @@
     if (record == recorded_slowdowns_)
         return;
     recorded_slowdowns_ = std::move(record);
-    with_.journal.write({record_key(record_kind::slowdowns, "table"), recorded_slowdowns_, 0});
+    deps_.progress_log.write({record_key(record_kind::slowdowns, "table"), recorded_slowdowns_, 0});
 }
 
 run_number cell_coordinator::next_run() {
@@ -177,12 +181,12 @@
     return run_number((epoch_.value() << runs_per_epoch_bits) + ++last_run_);
 }
 
-void cell_coordinator::be_deposed() {
-    if (std::exchange(deposed_, true))
+void cell_coordinator::handle_superseded() {
+    if (std::exchange(superseded_, true))
         return;
     log_event(log_level::warn, "reign_superseded",
               {{"epoch", static_cast<std::int64_t>(epoch_.value())}});
-    with_.deposed();
+    deps_.on_superseded();
 }
 
 } // namespace figwinch
--- a/src/cell/cell_coordinator.h
+++ b/src/cell/cell_coordinator.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "cell/job_work.h"
+#include "cell/job_state.h"
 #include "cell/straggler.h"
-#include "cell/worker_work.h"
+#include "cell/worker_state.h"
 #include "figwinch/cell/coordinator.h"
 
 #include <absl/container/flat_hash_map.h>
@@ -14,269 +14,273 @@
 namespace figwinch {
 
 /// A worker whose last report is older gets no new runs.
-inline constexpr duration reported_within = std::chrono::milliseconds(2200);
+inline constexpr duration max_report_age = std::chrono::milliseconds(2200);
 
 /// The coordinator's rules, split into source files by topic: jobs, their records, workers and
 /// their reports, leases, CPU sharing, runs, stops, placement and advice.
 class cell_coordinator final : public coordinator {
 public:
-    cell_coordinator(parts with, const cell_settings& settings, lease_epoch epoch,
+    cell_coordinator(dependencies deps, const cell_settings& settings, lease_epoch epoch,
                      const predecessor& before, const cell_state& known);
 
-    void take_config(const cell_config& config) override;
-    void take_evacuated(absl::flat_hash_set<data_centre_id> data_centres) override;
-    void take_listing(const std::vector<worker_listing>& listing) override;
-    void take_intake(const job_entry& job) override;
+    void apply_config(const cell_config& config) override;
+    void update_evacuated(absl::flat_hash_set<data_centre_id> data_centres) override;
+    void update_workers(const std::vector<worker_listing>& listing) override;
+    void apply_intake(const job_entry& job) override;
     void tick() override;
     coordinator_counts counts() const override;
     coordinator_view view() const override;
     outstanding_orders outstanding() const override;
-    void take_outstanding(const outstanding_orders& orders) override;
+    void apply_outstanding(const outstanding_orders& orders) override;
 
 private:
-    void log_waiting() const;
-    void log_lasting_waits();
-    std::int64_t count_down(const step_work& step, const task_work*& longest) const;
+    void log_waiting_tasks() const;
+    void log_waiting_service_tasks();
+    std::int64_t count_long_waiting(const step_state& step, const task_state*& longest) const;
     void record_slowdowns();
 
     // coordinator_jobs.cpp
-    void add_job(const job_entry& entry, bool may_run_elsewhere);
-    void restore_progress(job_work& job, const job_progress& progress);
-    occurrence_work& make_occurrence(job_work& job, std::uint32_t number);
-    void make_due_occurrences(job_work& job);
-    void refresh_ready(occurrence_work& occurrence);
-    void apply_queue(job_work& job) const;
-    void end_task(task_work& task);
-    void end_step(job_work& job, step_work& step);
-    void end_job(job_work& job, job_phase phase);
+    void add_job(const job_entry& entry, bool may_have_earlier_runs);
+    void restore_progress(job_state& job, const job_progress& progress);
+    occurrence_state& make_occurrence(job_state& job, std::uint32_t number);
+    void make_due_occurrences(job_state& job);
+    void update_ready(occurrence_state& occurrence);
+    void apply_queue_config(job_state& job) const;
+    void end_task(task_state& task);
+    void end_step(job_state& job, step_state& step);
+    void end_job(job_state& job, job_phase phase);
     void drop_ended_jobs();
-    bool may_drop(const job_work& job) const;
-    void drop_job(job_work& job);
-    void look_ahead(job_work& job) const;
+    bool may_drop(const job_state& job) const;
+    void drop_job(job_state& job);
+    void update_outlook(job_state& job) const;
     void sort_jobs();
-    job_work* find_job(const job_id& id);
-    task_work* find_task(const task_name& name);
-    static task_name name_of(const task_work& task);
+    job_state* find_job(const job_id& id);
+    task_state* find_task(const task_name& name);
+    static task_name name_of(const task_state& task);
 
     // coordinator_records.cpp
-    void mark_dirty(job_work& job);
-    void mark_widened(job_work& job, const worker_work& worker);
+    void mark_dirty(job_state& job);
+    void add_ordered_to(job_state& job, const worker_state& worker);
     void write_dirty();
-    void write_progress(const job_work& job);
-    static bool has_own_record(const step_spec& step);
-    static bool is_recorded_at(const task_work& task, const worker_work& worker);
-    void note_place(task_work& task, const worker_work& worker);
+    void write_progress(const job_state& job);
+    static bool has_record_per_task(const step_spec& step);
+    static bool is_recorded_at(const task_state& task, const worker_state& worker);
+    void record_placement(task_state& task, const worker_state& worker);
     void order_when_recorded();
     void order_recorded(const task_name& name, run_number run);
 
     // coordinator_workers.cpp
-    struct due_hold {
+    struct due_renewal {
         instant at{};
         worker_slot worker = 0;
         // clang-tidy takes the 0 of a rewritten `<` for a null pointer.
         // NOLINTNEXTLINE(modernize-use-nullptr)
-        friend auto operator<=>(const due_hold&, const due_hold&) = default;
+        friend auto operator<=>(const due_renewal&, const due_renewal&) = default;
     };
-    void hold_due();
-    void hold_at(worker_work& worker, instant when);
-    void hold(worker_work& worker);
-    duration lease_to_ask(instant now) const;
-    void take_report(const worker_id& id, instant asked, order_outcome outcome,
-                     const worker_report& report);
-    bool is_other_life(const worker_id& id, std::uint64_t born_ms) const;
-    duration longest_held_before(const worker_id& id, std::uint64_t born_ms) const;
-    void start_new_life(worker_work& worker, const worker_report& report);
-    void register_life(worker_work& worker);
-    void take_silence(worker_work& worker);
-    void end_silence(worker_work& worker);
-    worker_work* find_worker(const worker_id& id);
+    void send_due_renewals();
+    void schedule_renewal(worker_state& worker, instant when);
+    void renew_lease(worker_state& worker);
+    duration lease_to_request(instant now) const;
+    void handle_report(const worker_id& id, instant asked, order_outcome outcome,
+                       const worker_report& report);
+    bool is_other_incarnation(const worker_id& id, std::uint64_t born_ms) const;
+    duration max_predecessor_lease(const worker_id& id, std::uint64_t born_ms) const;
+    void handle_new_incarnation(worker_state& worker, const worker_report& report);
+    void register_incarnation(worker_state& worker);
+    void handle_unanswered_renewal(worker_state& worker);
+    void handle_recovery(worker_state& worker);
+    worker_state* find_worker(const worker_id& id);
 
     // coordinator_reports.cpp
-    void take_ends(worker_work& worker, const std::vector<ended_row>& rows);
-    void take_running(worker_work& worker, const worker_report& report, instant asked);
-    task_work* task_of(const worker_work& worker, const running_row& row);
-    void take_row(worker_work& worker, const running_row& row, task_work* task);
-    void drop_missing(worker_work& worker, const worker_report& report, instant asked);
-    static std::optional<resources> stray_size(const worker_work& worker,
-                                               const worker_report& report,
-                                               const std::vector<const task_work*>& shown);
+    void apply_ended_runs(worker_state& worker, const std::vector<ended_row>& rows);
+    void apply_running_runs(worker_state& worker, const worker_report& report, instant asked);
+    task_state* task_of(const worker_state& worker, const running_row& row);
+    void apply_running_run(worker_state& worker, const running_row& row, task_state* task);
+    void release_missing_runs(worker_state& worker, const worker_report& report, instant asked);
+    static std::optional<resources> orphan_resources(const worker_state& worker,
+                                                     const worker_report& report,
+                                                     const std::vector<const task_state*>& shown);
 
     // coordinator_sharing.cpp
-    static void log_sharing(const worker_work& worker);
-    void share_processors(worker_work& worker);
-    void learn_slowdowns(const worker_work& worker, const std::vector<serving_view>& serving);
+    static void log_sharing(const worker_state& worker);
+    void update_throttles(worker_state& worker);
+    void learn_slowdowns(const worker_state& worker, const std::vector<serving_view>& serving);
 
     // coordinator_leases.cpp
     void expire_leases();
-    void end_lease(worker_work& worker);
-    void forget_gone_workers();
-    void resolve(const worker_id& id);
+    void handle_lease_expiry(worker_state& worker);
+    void remove_unlisted_workers();
+    void mark_resolved(const worker_id& id);
     void resolve_expired();
-    void mark_unresolved();
+    void update_unresolved_marks();
     void log_resolved() const;
-    bool is_settled(instant& since) const;
+    bool is_confirmed_since(instant& since) const;
     bool log_confirms() const;
-    bool sees_notices() const;
-    bool may_start(const task_work& task) const;
+    bool has_current_notices() const;
+    bool may_start(const task_state& task) const;
 
     // coordinator_stops.cpp
-    void request_stop(task_work& task);
-    void stop_stray(const worker_work& worker, const std::string& task, run_number run);
+    void request_stop(task_state& task);
+    void stop_orphaned_run(const worker_state& worker, const std::string& task, run_number run);
     void send_stops();
-    void take_stop_answer(const task_name& name, run_number run, const order_answer& answer);
-    void send_pace(task_work& task);
-    void take_pace_answer(const task_name& name, run_number run, int percent,
-                          const order_answer& answer);
+    void handle_stop_answer(const task_name& name, run_number run, const order_answer& answer);
+    void send_throttle(task_state& task);
+    void handle_throttle_answer(const task_name& name, run_number run, int percent,
+                                const order_answer& answer);
 
     // coordinator_stragglers.cpp
-    void note_progress(task_run& run, int percent) const;
-    void note_whole_time(task_work& task);
+    void update_progress(task_run& run, int percent) const;
+    void record_run_time(task_state& task);
     void move_stragglers();
-    void move_stragglers_of(step_work& step);
-    void move_straggler(task_work& task, bool still);
+    void move_stragglers_of(step_state& step);
+    void move_straggler(task_state& task, bool stuck);
 
     // coordinator_step_down.cpp
-    std::optional<duration> time_left(const worker_work& worker) const;
-    void list_not_ordered(const job_work& job, std::vector<std::string>& names) const;
-    bool is_surely_not_ordered(const task_work& task) const;
+    std::optional<duration> time_left(const worker_state& worker) const;
+    void list_not_ordered(const job_state& job, std::vector<std::string>& names) const;
+    bool is_known_not_ordered(const task_state& task) const;
 
     // coordinator_view.cpp
-    static void count_tasks(const job_work& job, job_view& row);
-    worker_standing standing_of(const worker_work& worker) const;
-    job_wait wait_of(const job_work& job) const;
-    job_wait wait_of(const job_work& job, const task_work& task) const;
+    static void count_tasks(const job_state& job, job_view& row);
+    worker_status status_of(const worker_state& worker) const;
+    wait_reason wait_reason_of(const job_state& job) const;
+    wait_reason wait_reason_of(const job_state& job, const task_state& task) const;
 
     // coordinator_runs.cpp
-    void start(task_work& task, worker_work& worker, run_number run, const std::string& checkpoint);
-    void order_start(task_work& task);
+    void start(task_state& task, worker_state& worker, run_number run,
+               const std::string& checkpoint);
+    void order_start(task_state& task);
     bool is_start_wanted(const task_name& name, run_number run, const worker_id& worker,
                          std::uint64_t born_ms);
-    void take_start_answer(const task_name& name, run_number run, const worker_id& worker,
-                           const order_answer& answer);
-    void give_back(task_work& task, worker_work& worker, std::string_view why, duration rest);
-    void take_end(worker_work& worker, const ended_row& row);
-    void take_good_end(task_work& task);
-    void take_failure(task_work& task, worker_work& worker, run_number run);
-    void note_failure_of(worker_work& worker, const job_id& job);
-    void bind(task_work& task, worker_work& worker);
-    void release(task_work& task);
-    void list_images(worker_work& worker);
+    void handle_start_answer(const task_name& name, run_number run, const worker_id& worker,
+                             const order_answer& answer);
+    void handle_refused_start(task_state& task, worker_state& worker, std::string_view why,
+                              duration quarantine);
+    void apply_ended_run(worker_state& worker, const ended_row& row);
+    void apply_success(task_state& task);
+    void apply_failure(task_state& task, worker_state& worker, run_number run);
+    void count_worker_failure(worker_state& worker, const job_id& job);
+    void assign(task_state& task, worker_state& worker);
+    void release(task_state& task);
+    void update_images(worker_state& worker);
     run_number next_run();
-    void be_deposed();
+    void handle_superseded();
 
     // coordinator_placement.cpp
-    enum class task_turn { lasting_again, short_task, lasting_first };
+    enum class placement_pass { service_restarts, batch_tasks, service_first_starts };
     struct waiting_step {
-        job_work* job = nullptr;
-        step_work* step = nullptr;
+        job_state* job = nullptr;
+        step_state* step = nullptr;
     };
     void place_all();
     std::vector<waiting_step> waiting_steps() const;
-    bool place_steps(const std::vector<waiting_step>& waiting, task_turn turn, std::uint64_t most);
-    bool place_step(job_work& job, step_work& step, task_turn turn);
-    bool place_gang(job_work& job, step_work& step);
-    bool usable(const worker_work& worker, const job_work& job) const;
-    bool admits(const worker_work& worker, const step_work& step) const;
-    double score(const worker_work& worker, const step_work& step) const;
-    double score_serving(const worker_work& worker, const step_work& step) const;
-    double score_filling(const worker_work& worker, const step_work& step) const;
-    bool may_fill(const worker_work& worker, const step_work& step) const;
-    std::int64_t left_to_fill(const worker_work& worker) const;
-    void leave_leaving_workers();
+    bool place_steps(const std::vector<waiting_step>& waiting, placement_pass pass,
+                     std::uint64_t max_starts);
+    bool place_step(job_state& job, step_state& step, placement_pass pass);
+    bool place_gang(job_state& job, step_state& step);
+    bool is_usable(const worker_state& worker, const job_state& job) const;
+    bool admits(const worker_state& worker, const step_state& step) const;
+    double score(const worker_state& worker, const step_state& step) const;
+    double score_latency_critical(const worker_state& worker, const step_state& step) const;
+    double score_best_effort(const worker_state& worker, const step_state& step) const;
+    bool admits_best_effort(const worker_state& worker, const step_state& step) const;
+    std::int64_t best_effort_cpu_left(const worker_state& worker) const;
+    void drain_leaving_workers();
 
     // coordinator_candidates.cpp
     /// A worker that can run a step's tasks, and its placement score; higher is better.
     struct candidate {
-        worker_work* worker = nullptr;
+        worker_state* worker = nullptr;
         double score = 0;
     };
     using candidates = std::vector<candidate>;
     /// Requirements of a step for which this placement round found no worker.
-    struct vain_search {
+    struct failed_search {
         service_id service;
         image_number image = 0;
-        bool filling = false;
+        bool best_effort = false;
         resources size;
     };
-    void add_slot(worker_work& worker);
-    void drop_slot(worker_work& worker);
-    void tag_labels(worker_work& worker);
-    void tag_images(worker_work& worker);
-    bool takes_starts(const worker_work& worker) const;
-    void offer(worker_work& worker);
+    void add_slot(worker_state& worker);
+    void remove_slot(worker_state& worker);
+    void update_label_tags(worker_state& worker);
+    void update_image_tags(worker_state& worker);
+    bool accepts_starts(const worker_state& worker) const;
+    void update_index(worker_state& worker);
     tag_number image_tag(image_number image);
-    candidates search(const job_work& job, const step_work& step, const rack_id& only_rack);
-    void visit_for(const job_work& job, const step_work& step, const rack_id& only_rack,
-                   const candidate_index::visitor& visit);
-    static bool may_be_vain(const job_work& job, const step_work& step);
-    bool is_vain(const job_work& job, const step_work& step) const;
-    worker_work* choose(const job_work& job, const task_work& task, const rack_id& only_rack);
-    worker_work* choose_recorded(const job_work& job, const task_work& task);
-    worker_work* best_of(const candidates& found, const task_work& task) const;
-    void renew_score(candidates& found, const worker_work& worker, const step_work& step) const;
-    bool is_surely_there(const worker_work& worker, const task_work& task) const;
+    candidates search(const job_state& job, const step_state& step, const rack_id& only_rack);
+    void visit_candidates(const job_state& job, const step_state& step, const rack_id& only_rack,
+                          const candidate_index::visitor& visit);
+    static bool is_failure_conclusive(const job_state& job, const step_state& step);
+    bool has_failed_search(const job_state& job, const step_state& step) const;
+    worker_state* choose_worker(const job_state& job, const task_state& task,
+                                const rack_id& only_rack);
+    worker_state* choose_recorded(const job_state& job, const task_state& task);
+    worker_state* best_candidate(const candidates& found, const task_state& task) const;
+    void update_score(candidates& found, const worker_state& worker, const step_state& step) const;
+    bool is_known_responsive(const worker_state& worker, const task_state& task) const;
 
-    // coordinator_room.cpp
-    void keep_room();
-    std::vector<const task_work*> lasting_without_run() const;
+    // coordinator_reservations.cpp
+    void update_reservations();
+    std::vector<const task_state*> service_tasks_without_run() const;
 
     // coordinator_advice.cpp
-    bool is_advised(const worker_work& worker, const job_work& job, const step_work& step) const;
-    std::string ticket_for(task_work& task, const worker_work& worker) const;
-    void ask_advice(job_work& job, const task_work& task);
-    std::vector<worker_id> advice_candidates(const job_work& job, const task_work& task) const;
-    void take_advice(const task_name& name, const std::vector<worker_id>& asked, instant sent,
-                     const std::optional<worker_advice>& advice);
+    bool is_advised(const worker_state& worker, const job_state& job, const step_state& step) const;
+    std::string ticket_for(task_state& task, const worker_state& worker) const;
+    void request_advice(job_state& job, const task_state& task);
+    std::vector<worker_id> advice_candidates(const job_state& job, const task_state& task) const;
+    void apply_advice(const task_name& name, const std::vector<worker_id>& asked, instant sent,
+                      const std::optional<worker_advice>& advice);
 
-    parts with_;
+    dependencies deps_;
     cell_settings settings_;
     lease_epoch epoch_;
-    instant began_;
+    instant term_started_at_;
     cell_config config_;
     absl::flat_hash_set<data_centre_id> evacuated_;
     // Ordered, as the workers are, so that decisions do not depend on hash order.
-    std::map<job_id, std::unique_ptr<job_work>> jobs_;
-    absl::flat_hash_map<job_id, job_work*> job_index_;
+    std::map<job_id, std::unique_ptr<job_state>> jobs_;
+    absl::flat_hash_map<job_id, job_state*> job_index_;
     /// Ended jobs, the first to end in front.
-    std::deque<job_work*> ended_jobs_;
+    std::deque<job_state*> ended_jobs_;
     /// Open jobs in scheduling order.
-    std::vector<job_work*> order_;
+    std::vector<job_state*> open_jobs_;
     /// Jobs whose progress, or whose set of workers, has changed since it was last written.
-    std::vector<job_work*> dirty_;
-    std::vector<job_work*> widened_;
-    std::map<worker_id, std::unique_ptr<worker_work>> workers_;
+    std::vector<job_state*> dirty_;
+    std::vector<job_state*> ordered_to_changed_;
+    std::map<worker_id, std::unique_ptr<worker_state>> workers_;
     /// Index for finding workers for tasks; its slots are indexes into `slots_`.
     candidate_index index_;
-    std::vector<worker_work*> slots_;
+    std::vector<worker_state*> slots_;
     std::vector<worker_slot> unused_slots_;
     /// Tag of each image in the candidate index, by image number.
     std::vector<tag_number> image_tags_;
     std::uint64_t searches_ = 0;
-    std::vector<vain_search> vain_searches_;
-    /// Lease renewals by due time; an entry is valid while it equals the worker's `next_hold`.
-    std::priority_queue<due_hold, std::vector<due_hold>, std::greater<>> due_holds_;
+    std::vector<failed_search> failed_searches_;
+    /// Lease renewals by due time; an entry is valid while it equals the worker's `next_renewal`.
+    std::priority_queue<due_renewal, std::vector<due_renewal>, std::greater<>> due_renewals_;
     /// Workers on which a predecessor may have started tasks and that have not reported yet, and
     /// when the leases of those tasks have expired.
     absl::flat_hash_map<worker_id, instant> unresolved_;
     worker_marks unresolved_marks_;
     /// Incarnations of the workers that predecessors granted leases to, and when the longest lease
     /// that a predecessor's order can have caused has expired.
-    absl::flat_hash_map<worker_id, std::uint64_t> held_lives_;
-    instant whole_leases_over_{};
+    absl::flat_hash_map<worker_id, std::uint64_t> leased_incarnations_;
+    instant longest_leases_expired_at_{};
     std::size_t marked_unresolved_ = 0;
     /// Starts of this round that are ordered once the log has their records.
-    std::vector<std::pair<task_name, run_number>> recording_;
+    std::vector<std::pair<task_name, run_number>> unrecorded_starts_;
     /// Tasks whose runs have to be stopped.
-    std::vector<task_name> stopping_;
+    std::vector<task_name> tasks_to_stop_;
     std::uint64_t last_run_ = 0;
-    bool deposed_ = false;
+    bool superseded_ = false;
     bool placement_due_ = true;
-    /// Jobs were added or their outlook changed: `order_` must be sorted.
+    /// Jobs were added or their outlook changed: `open_jobs_` must be sorted.
     bool sort_due_ = true;
     instant next_placement_{};
     instant next_sweep_{};
     instant next_stragglers_{};
-    instant next_lasting_waits_{};
+    instant next_waiting_log_{};
     /// At most one request to the placement advisor is in flight.
     bool advice_in_flight_ = false;
     instant next_advice_{};
--- a/src/cell/coordinator_advice.cpp
+++ b/src/cell/coordinator_advice.cpp
@@ -10,41 +10,41 @@
 
 // Maximum number of workers in an advice request. Each worker costs time, and the advisor handles
 // one request at a time: enough for a step of usual width and some refusals.
-constexpr std::size_t most_asked = 30;
+constexpr std::size_t max_advice_workers = 30;
 // Delay before the next advice request after one that was not answered or was rejected.
-constexpr duration ask_again = std::chrono::milliseconds(300);
+constexpr duration advice_retry_delay = std::chrono::milliseconds(300);
 // Added to the response time that the queue's advice terms declare, for network delays. Requests of
 // other hosts do not queue with those of this one.
 constexpr duration advice_slack = std::chrono::milliseconds(700);
 // Score bonus for workers that the advisor has approved, over those that it may refuse.
-constexpr double known_good_bonus = 100;
+constexpr double approved_bonus = 100;
 
 } // namespace
 
 /// Returns whether the queue's policy allows a start of the step's tasks on the worker.
-bool cell_coordinator::is_advised(const worker_work& worker, const job_work& job,
-                                  const step_work& step) const {
+bool cell_coordinator::is_advised(const worker_state& worker, const job_state& job,
+                                  const step_state& step) const {
     if (!job.advice)
         return true;
-    return step.advice.ticket(worker.listing.id, worker.born_ms, with_.time.now()) != nullptr;
+    return step.advice.ticket(worker.listing.id, worker.born_ms, deps_.time.now()) != nullptr;
 }
 
 /// Returns the advisor's ticket to send with a start order; binds it to the worker's current
 /// incarnation.
-std::string cell_coordinator::ticket_for(task_work& task, const worker_work& worker) const {
+std::string cell_coordinator::ticket_for(task_state& task, const worker_state& worker) const {
     if (!task.job->advice)
         return "";
     step_advice& advice = task.step->advice;
     advice.bind_life(worker.listing.id, worker.born_ms);
     const std::string* const ticket =
-        advice.ticket(worker.listing.id, worker.born_ms, with_.time.now());
+        advice.ticket(worker.listing.id, worker.born_ms, deps_.time.now());
     return ticket == nullptr ? "" : *ticket;
 }
 
 /// Asks the advisor about the workers on which the task would be placed next. One request at a
 /// time: placement order makes the steps of the most urgent jobs ask first.
-void cell_coordinator::ask_advice(job_work& job, const task_work& task) {
-    const instant now = with_.time.now();
+void cell_coordinator::request_advice(job_state& job, const task_state& task) {
+    const instant now = deps_.time.now();
     if (!job.advice || advice_in_flight_ || now < next_advice_)
         return;
     std::vector<worker_id> asked = advice_candidates(job, task);
@@ -53,32 +53,32 @@
     advice_in_flight_ = true;
     ++counts_.advice_calls;
     const advice_terms& terms = *job.advice;
-    const duration patience =
+    const duration timeout =
         terms.decide + terms.each * static_cast<int>(asked.size()) + advice_slack;
     const task_name name = name_of(task);
     const std::string step = absl::StrCat(job.id.str(), ".", name.occurrence, ".", name.step);
-    with_.advisor.ask(step, asked, patience,
+    deps_.advisor.ask(step, asked, timeout,
                       [this, weak = std::weak_ptr(alive_), name, asked,
                        sent = now](const std::optional<worker_advice>& advice) {
-                          if (!weak.expired() && !deposed_)
-                              take_advice(name, asked, sent, advice);
+                          if (!weak.expired() && !superseded_)
+                              apply_advice(name, asked, sent, advice);
                       });
 }
 
-std::vector<worker_id> cell_coordinator::advice_candidates(const job_work& job,
-                                                           const task_work& task) const {
-    const instant now = with_.time.now();
+std::vector<worker_id> cell_coordinator::advice_candidates(const job_state& job,
+                                                           const task_state& task) const {
+    const instant now = deps_.time.now();
     const step_advice& known = task.step->advice;
     candidates open;
     for (const auto& [id, worker] : workers_) {
-        if (!usable(*worker, job) || !admits(*worker, *task.step) ||
+        if (!is_usable(*worker, job) || !admits(*worker, *task.step) ||
             !known.is_open(id, worker->born_ms, now))
             continue;
-        const double bonus = known.is_good(id) ? known_good_bonus : 0;
+        const double bonus = known.is_good(id) ? approved_bonus : 0;
         open.push_back({worker.get(), score(*worker, *task.step) + bonus});
     }
     std::ranges::sort(open, std::greater{}, &candidate::score);
-    open.resize(std::min(open.size(), most_asked));
+    open.resize(std::min(open.size(), max_advice_workers));
     std::vector<worker_id> asked;
     asked.reserve(open.size());
     for (const candidate& one : open)
@@ -86,16 +86,16 @@
     return asked;
 }
 
-void cell_coordinator::take_advice(const task_name& name, const std::vector<worker_id>& asked,
-                                   instant sent, const std::optional<worker_advice>& advice) {
+void cell_coordinator::apply_advice(const task_name& name, const std::vector<worker_id>& asked,
+                                    instant sent, const std::optional<worker_advice>& advice) {
     advice_in_flight_ = false;
     placement_due_ = true;
     if (!advice) {
-        next_advice_ = with_.time.now() + ask_again;
+        next_advice_ = deps_.time.now() + advice_retry_delay;
         log_event(log_level::warn, "advice_missing", {{"job", name.job.str()}});
         return;
     }
-    task_work* const task = find_task(name);
+    task_state* const task = find_task(name);
     if (task == nullptr || !task->job->advice)
         return;
     log_event(log_level::info, "advice_taken",
--- a/src/cell/coordinator_candidates.cpp
+++ b/src/cell/coordinator_candidates.cpp
@@ -9,20 +9,20 @@
 
 // A search stops after this many workers that can run the step's tasks. To choose the best of more
 // than a hundred gains little for a few dozen tasks.
-constexpr std::size_t most_candidates = 128;
+constexpr std::size_t max_candidates = 128;
 // Maximum number of workers that a search visits if few of them can run the tasks.
-constexpr std::size_t most_met = 512;
+constexpr std::size_t max_visited = 512;
 // Maximum number of workers that a search visits because they are near the step's data or already
 // run its latency-critical image.
-constexpr std::size_t most_met_tagged = 128;
+constexpr std::size_t max_visited_tagged = 128;
 constexpr double failed_there_penalty = 10;
 // Maximum age of a report that shows a worker to be responsive; reports of a busy worker are up to
 // a second apart.
-constexpr duration just_reported = std::chrono::milliseconds(600);
+constexpr duration responsive_report_age = std::chrono::milliseconds(600);
 
 } // namespace
 
-void cell_coordinator::add_slot(worker_work& worker) {
+void cell_coordinator::add_slot(worker_state& worker) {
     if (unused_slots_.empty()) {
         worker.slot = static_cast<worker_slot>(slots_.size());
         slots_.push_back(&worker);
@@ -33,24 +33,24 @@
     slots_[worker.slot] = &worker;
 }
 
-void cell_coordinator::drop_slot(worker_work& worker) {
+void cell_coordinator::remove_slot(worker_state& worker) {
     index_.remove(worker.slot);
     slots_[worker.slot] = nullptr;
     unused_slots_.push_back(worker.slot);
 }
 
-void cell_coordinator::tag_labels(worker_work& worker) {
+void cell_coordinator::update_label_tags(worker_state& worker) {
     worker.label_tags.clear();
     for (const std::string& label : worker.listing.labels)
         worker.label_tags.push_back(index_.tag("label " + label));
     if (!worker.listing.rack.empty())
         worker.label_tags.push_back(index_.tag("rack " + worker.listing.rack.str()));
-    tag_images(worker);
+    update_image_tags(worker);
 }
 
-void cell_coordinator::tag_images(worker_work& worker) {
+void cell_coordinator::update_image_tags(worker_state& worker) {
     worker.offer.tags = worker.label_tags;
-    for (const auto& [image, tasks] : worker.serving)
+    for (const auto& [image, tasks] : worker.latency_critical_images)
         worker.offer.tags.push_back(image_tag(image));
 }
 
@@ -60,106 +60,108 @@
     return image_tags_[image];
 }
 
-/// The conditions of `usable` that do not change with time alone.
-bool cell_coordinator::takes_starts(const worker_work& worker) const {
-    return worker.listed && !worker.listing.leaving && worker.heard && worker.registered &&
-           !worker.silent && !evacuated_.contains(worker.listing.data_centre);
+/// The conditions of `is_usable` that do not change with time alone.
+bool cell_coordinator::accepts_starts(const worker_state& worker) const {
+    return worker.listed && !worker.listing.leaving && worker.reported_this_term &&
+           worker.registered && !worker.unresponsive &&
+           !evacuated_.contains(worker.listing.data_centre);
 }
 
 /// Updates the candidate index with the worker's current state.
-void cell_coordinator::offer(worker_work& worker) {
-    if (!takes_starts(worker))
+void cell_coordinator::update_index(worker_state& worker) {
+    if (!accepts_starts(worker))
         return index_.remove(worker.slot);
     worker.offer.service = worker.listing.service;
-    worker.offer.free_millis = worker.listing.capacity.cpu_millis - worker.taken.cpu_millis;
-    worker.offer.fill_millis = left_to_fill(worker);
+    worker.offer.free_millis = worker.listing.capacity.cpu_millis - worker.allocated.cpu_millis;
+    worker.offer.fill_millis = best_effort_cpu_left(worker);
     index_.put(worker.slot, worker.offer);
 }
 
 /// Returns workers that can run the step's tasks. Visits a bounded number: those with the most free
 /// CPU, or that run the same image; for best-effort steps a sample, since the score depends on the
 /// tasks that share the worker.
-cell_coordinator::candidates cell_coordinator::search(const job_work& job, const step_work& step,
+cell_coordinator::candidates cell_coordinator::search(const job_state& job, const step_state& step,
                                                       const rack_id& only_rack) {
     candidates found;
-    if (is_vain(job, step))
+    if (has_failed_search(job, step))
         return found;
     const std::uint64_t number = ++searches_;
-    std::size_t met = 0;
-    visit_for(job, step, only_rack, [&](worker_slot slot) {
-        worker_work& worker = *slots_[slot];
-        if (std::exchange(worker.met_in_search, number) == number)
+    std::size_t visited = 0;
+    visit_candidates(job, step, only_rack, [&](worker_slot slot) {
+        worker_state& worker = *slots_[slot];
+        if (std::exchange(worker.last_search, number) == number)
             return true;
-        ++met;
-        if (usable(worker, job) && admits(worker, step) && is_advised(worker, job, step))
+        ++visited;
+        if (is_usable(worker, job) && admits(worker, step) && is_advised(worker, job, step))
             found.push_back({&worker, score(worker, step)});
-        return found.size() < most_candidates && met < most_met;
+        return found.size() < max_candidates && visited < max_visited;
     });
-    if (found.empty() && only_rack.empty() && may_be_vain(job, step))
-        vain_searches_.push_back({job.service, step.image, step.spec->filling, step.spec->size});
+    if (found.empty() && only_rack.empty() && is_failure_conclusive(job, step))
+        failed_searches_.push_back({job.service, step.image, step.spec->filling, step.spec->size});
     return found;
 }
 
-void cell_coordinator::visit_for(const job_work& job, const step_work& step,
-                                 const rack_id& only_rack, const candidate_index::visitor& visit) {
+void cell_coordinator::visit_candidates(const job_state& job, const step_state& step,
+                                        const rack_id& only_rack,
+                                        const candidate_index::visitor& visit) {
     const step_spec& spec = *step.spec;
-    const std::int64_t least = spec.filling ? 0 : spec.size.cpu_millis;
+    const std::int64_t min_cpu = spec.filling ? 0 : spec.size.cpu_millis;
     if (!only_rack.empty())
-        return index_.visit_tagged(job.service, index_.tag("rack " + only_rack.str()), least,
+        return index_.visit_tagged(job.service, index_.tag("rack " + only_rack.str()), min_cpu,
                                    searches_, visit);
     if (!spec.label.empty())
-        return index_.visit_tagged(job.service, index_.tag("label " + spec.label), least, searches_,
-                                   visit);
-    bool goes_on = true;
+        return index_.visit_tagged(job.service, index_.tag("label " + spec.label), min_cpu,
+                                   searches_, visit);
+    bool continue_search = true;
     std::size_t tagged = 0;
     const auto visit_tagged = [&](worker_slot slot) {
-        goes_on = visit(slot);
-        return goes_on && ++tagged < most_met_tagged;
+        continue_search = visit(slot);
+        return continue_search && ++tagged < max_visited_tagged;
     };
     if (!spec.near_rack.empty())
-        index_.visit_tagged(job.service, index_.tag("rack " + spec.near_rack.str()), least,
+        index_.visit_tagged(job.service, index_.tag("rack " + spec.near_rack.str()), min_cpu,
                             searches_, visit_tagged);
     if (spec.tail_target > duration::zero())
-        index_.visit_tagged(job.service, image_tag(step.image), least, searches_, visit_tagged);
-    if (!goes_on)
+        index_.visit_tagged(job.service, image_tag(step.image), min_cpu, searches_, visit_tagged);
+    if (!continue_search)
         return;
     // Best-effort service tasks are placed wherever their memory fits.
-    const std::int64_t least_left = spec.lasting ? 0 : spec.size.cpu_millis;
+    const std::int64_t min_cpu_left = spec.lasting ? 0 : spec.size.cpu_millis;
     if (spec.filling)
-        index_.visit_fill(job.service, least_left, most_met, searches_, visit);
+        index_.visit_fill(job.service, min_cpu_left, max_visited, searches_, visit);
     else
-        index_.visit_free(job.service, least, searches_, visit);
+        index_.visit_free(job.service, min_cpu, searches_, visit);
 }
 
 /// Returns whether a failed search for this step implies that searches for similar steps fail too.
-bool cell_coordinator::may_be_vain(const job_work& job, const step_work& step) {
+bool cell_coordinator::is_failure_conclusive(const job_state& job, const step_state& step) {
     const step_spec& spec = *step.spec;
     return !spec.lasting && !spec.gang && spec.label.empty() && spec.near_rack.empty() &&
            spec.most_per_worker == 0 && !job.advice;
 }
 
-bool cell_coordinator::is_vain(const job_work& job, const step_work& step) const {
-    if (!may_be_vain(job, step))
+bool cell_coordinator::has_failed_search(const job_state& job, const step_state& step) const {
+    if (!is_failure_conclusive(job, step))
         return false;
-    return std::ranges::any_of(vain_searches_, [&](const vain_search& vain) {
-        return vain.service == job.service && vain.image == step.image &&
-               vain.filling == step.spec->filling && fits(vain.size, step.spec->size);
+    return std::ranges::any_of(failed_searches_, [&](const failed_search& failed) {
+        return failed.service == job.service && failed.image == step.image &&
+               failed.best_effort == step.spec->filling && fits(failed.size, step.spec->size);
     });
 }
 
-worker_work* cell_coordinator::choose(const job_work& job, const task_work& task,
-                                      const rack_id& only_rack) {
-    return best_of(search(job, *task.step, only_rack), task);
+worker_state* cell_coordinator::choose_worker(const job_state& job, const task_state& task,
+                                              const rack_id& only_rack) {
+    return best_candidate(search(job, *task.step, only_rack), task);
 }
 
 /// Chooses a worker that the log already names for the task. Used while the log does not answer,
 /// when no other worker can be recorded.
-worker_work* cell_coordinator::choose_recorded(const job_work& job, const task_work& task) {
-    const step_work& step = *task.step;
-    worker_work* best = nullptr;
+worker_state* cell_coordinator::choose_recorded(const job_state& job, const task_state& task) {
+    const step_state& step = *task.step;
+    worker_state* best = nullptr;
     double best_score = 0;
     for (const auto& [id, worker] : workers_) {
-        if (!is_recorded_at(task, *worker) || !usable(*worker, job) || !admits(*worker, step) ||
+        if (!is_recorded_at(task, *worker) || !is_usable(*worker, job) || !admits(*worker, step) ||
             !is_advised(*worker, job, step))
             continue;
         const double found = score(*worker, step);
@@ -171,12 +173,13 @@
     return best;
 }
 
-worker_work* cell_coordinator::best_of(const candidates& found, const task_work& task) const {
-    worker_work* best = nullptr;
+worker_state* cell_coordinator::best_candidate(const candidates& found,
+                                               const task_state& task) const {
+    worker_state* best = nullptr;
     std::pair<bool, double> best_score;
     const bool has_failed = !task.failed_on.front().empty();
     for (const candidate& one : found) {
-        std::pair score{is_surely_there(*one.worker, task), one.score};
+        std::pair score{is_known_responsive(*one.worker, task), one.score};
         if (has_failed && std::ranges::count(task.failed_on, one.worker->listing.id) > 0)
             score.second -= failed_there_penalty;
         if (best == nullptr || score > best_score) {
@@ -188,8 +191,8 @@
 }
 
 /// Updates the worker's score after a task of the step was placed on it; removes it if it is full.
-void cell_coordinator::renew_score(candidates& found, const worker_work& worker,
-                                   const step_work& step) const {
+void cell_coordinator::update_score(candidates& found, const worker_state& worker,
+                                    const step_state& step) const {
     const auto known = std::ranges::find(found, &worker, &candidate::worker);
     if (known == found.end())
         return;
@@ -205,10 +208,12 @@
 /// usable and has free resources, and a service task started there is down until the start order
 /// has expired. So a task that ran before prefers a worker that has just reported. First starts
 /// come many at a time and are spread over all workers.
-bool cell_coordinator::is_surely_there(const worker_work& worker, const task_work& task) const {
-    if (!has_own_record(*task.step->spec) || task.progress.ordered_to.empty())
+bool cell_coordinator::is_known_responsive(const worker_state& worker,
+                                           const task_state& task) const {
+    if (!has_record_per_task(*task.step->spec) || task.progress.ordered_to.empty())
         return true;
-    return worker.unanswered == 0 && with_.time.now() - worker.reported_at < just_reported;
+    return worker.unanswered_renewals == 0 &&
+           deps_.time.now() - worker.reported_at < responsive_report_age;
 }
 
 } // namespace figwinch
--- a/src/cell/coordinator_jobs.cpp
+++ b/src/cell/coordinator_jobs.cpp
@@ -11,15 +11,15 @@
 // How much longer than promised the state of a finished job is kept for callers.
 constexpr duration status_slack = std::chrono::seconds(30);
 
-bool all_done(const occurrence_work& occurrence, const std::vector<std::uint32_t>& steps) {
+bool all_done(const occurrence_state& occurrence, const std::vector<std::uint32_t>& steps) {
     return std::ranges::all_of(
-        steps, [&](std::uint32_t number) { return occurrence.steps[number].left == 0; });
+        steps, [&](std::uint32_t number) { return occurrence.steps[number].unfinished == 0; });
 }
 
-bool has_runs(const job_work& job) {
+bool has_runs(const job_state& job) {
     return std::ranges::any_of(job.occurrences, [](const auto& entry) {
         return std::ranges::any_of(entry.second->steps,
-                                   [](const step_work& step) { return step.placed > 0; });
+                                   [](const step_state& step) { return step.assigned > 0; });
     });
 }
 
@@ -55,102 +55,103 @@
 
 } // namespace
 
-void cell_coordinator::add_job(const job_entry& entry, bool may_run_elsewhere) {
+void cell_coordinator::add_job(const job_entry& entry, bool may_have_earlier_runs) {
     if (!entry.spec)
         return;
-    auto made = std::make_unique<job_work>();
-    job_work& job = *made;
+    auto created = std::make_unique<job_state>();
+    job_state& job = *created;
     job.id = entry.id;
     job.spec = entry.spec;
     job.intake_offset = entry.intake_offset;
-    job.came_at =
-        with_.time.now() - age_of(*entry.spec, with_.time.wall_now(), settings_.status_kept);
+    job.submitted_at =
+        deps_.time.now() - age_of(*entry.spec, deps_.time.wall_now(), settings_.status_retention);
     const duration chain = longest_chain(*entry.spec);
-    job.objective_at = job.came_at + job.spec->target +
+    job.objective_at = job.submitted_at + job.spec->target +
                        std::chrono::duration_cast<duration>(chain * job.spec->stretch);
-    job.may_run_elsewhere = may_run_elsewhere;
+    job.may_have_earlier_runs = may_have_earlier_runs;
     job.phase = entry.phase;
     job.begun = entry.begun;
     job.ordered_to = entry.ordered_to;
     job.recorded_to = entry.ordered_to;
-    apply_queue(job);
-    jobs_.emplace(entry.id, std::move(made));
+    apply_queue_config(job);
+    jobs_.emplace(entry.id, std::move(created));
     job_index_.emplace(entry.id, &job);
     if (job.phase != job_phase::open) {
-        job.ended_at = with_.time.now();
+        job.ended_at = deps_.time.now();
         ended_jobs_.push_back(&job);
         return;
     }
-    order_.push_back(&job);
+    open_jobs_.push_back(&job);
     if (const auto progress = decode_progress(entry.progress_record))
         restore_progress(job, *progress);
     if (entry.cancel_wanted)
         return end_job(job, job_phase::cancelled);
     make_due_occurrences(job);
-    look_ahead(job);
+    update_outlook(job);
     sort_due_ = true;
     placement_due_ = true;
 }
 
-void cell_coordinator::restore_progress(job_work& job, const job_progress& progress) {
+void cell_coordinator::restore_progress(job_state& job, const job_progress& progress) {
     job.occurrences_ended = progress.occurrences_ended;
     job.occurrences_made = progress.occurrences_ended;
     for (const auto& [number, kept] : progress.occurrences) {
         if (number >= job.occurrence_count())
             continue;
-        occurrence_work& occurrence = make_occurrence(job, number);
+        occurrence_state& occurrence = make_occurrence(job, number);
         job.occurrences_made = std::max(job.occurrences_made, number + 1);
         const std::size_t steps = std::min(kept.steps.size(), occurrence.steps.size());
         for (std::size_t s = 0; s < steps; ++s) {
-            step_work& step = occurrence.steps[s];
+            step_state& step = occurrence.steps[s];
             const std::size_t tasks = std::min(kept.steps[s].size(), step.tasks.size());
             for (std::size_t t = 0; t < tasks; ++t) {
                 step.tasks[t].progress = kept.steps[s][t];
                 step.tasks[t].recorded = true;
-                step.left -= kept.steps[s][t].done ? 1 : 0;
+                step.unfinished -= kept.steps[s][t].done ? 1 : 0;
             }
         }
-        occurrence.steps_left = static_cast<std::uint32_t>(
-            std::ranges::count_if(occurrence.steps, [](const step_work& s) { return s.left > 0; }));
-        refresh_ready(occurrence);
+        occurrence.unfinished_steps = static_cast<std::uint32_t>(std::ranges::count_if(
+            occurrence.steps, [](const step_state& s) { return s.unfinished > 0; }));
+        update_ready(occurrence);
     }
-    job.any_worker_in_doubt = progress.begun && job.ordered_to.empty() && !names_a_worker(progress);
+    job.may_run_on_any_worker =
+        progress.begun && job.ordered_to.empty() && !names_a_worker(progress);
 }
 
-occurrence_work& cell_coordinator::make_occurrence(job_work& job, std::uint32_t number) {
-    auto made = std::make_unique<occurrence_work>();
-    occurrence_work& occurrence = *made;
+occurrence_state& cell_coordinator::make_occurrence(job_state& job, std::uint32_t number) {
+    auto created = std::make_unique<occurrence_state>();
+    occurrence_state& occurrence = *created;
     occurrence.number = number;
     occurrence.steps.resize(job.spec->steps.size());
-    occurrence.steps_left = static_cast<std::uint32_t>(job.spec->steps.size());
+    occurrence.unfinished_steps = static_cast<std::uint32_t>(job.spec->steps.size());
     for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
-        step_work& step = occurrence.steps[s];
+        step_state& step = occurrence.steps[s];
         step.spec = &job.spec->steps[s];
         step.image = slowdowns_.number(step.spec->image);
         step.occurrence = &occurrence;
         step.number = s;
-        step.left = step.spec->tasks;
+        step.unfinished = step.spec->tasks;
         step.tasks.resize(step.spec->tasks);
         for (std::uint32_t index = 0; index < step.tasks.size(); ++index) {
             step.tasks[index].job = &job;
             step.tasks[index].step = &step;
             step.tasks[index].index = index;
-            step.tasks[index].down_since = with_.time.now();
+            step.tasks[index].down_since = deps_.time.now();
         }
     }
-    job.occurrences[number] = std::move(made);
-    refresh_ready(occurrence);
+    job.occurrences[number] = std::move(created);
+    update_ready(occurrence);
     return occurrence;
 }
 
-void cell_coordinator::make_due_occurrences(job_work& job) {
+void cell_coordinator::make_due_occurrences(job_state& job) {
     if (job.phase != job_phase::open)
         return;
     while (job.occurrences_made < job.occurrence_count()) {
         if (job.spec->repeats > 0) {
             const std::int64_t due =
                 job.spec->first_ms + std::int64_t{job.occurrences_made} * job.spec->interval_ms;
-            if (with_.time.wall_now().time_since_epoch().count() < due)
+            if (deps_.time.wall_now().time_since_epoch().count() < due)
                 return;
         }
         make_occurrence(job, job.occurrences_made++);
@@ -158,12 +159,12 @@
     }
 }
 
-void cell_coordinator::refresh_ready(occurrence_work& occurrence) {
-    for (step_work& step : occurrence.steps)
+void cell_coordinator::update_ready(occurrence_state& occurrence) {
+    for (step_state& step : occurrence.steps)
         step.ready = all_done(occurrence, step.spec->after);
 }
 
-void cell_coordinator::apply_queue(job_work& job) const {
+void cell_coordinator::apply_queue_config(job_state& job) const {
     const queue_config* const queue = config_.find(job.spec->queue);
     job.service = queue != nullptr ? queue->service : job.spec->service;
     job.priority = queue != nullptr ? queue->priority : job.spec->priority;
@@ -173,25 +174,25 @@
         job.advice = queue->advice;
 }
 
-void cell_coordinator::look_ahead(job_work& job) const {
-    const job_outlook outlook = outlook_of(job, with_.time.now());
+void cell_coordinator::update_outlook(job_state& job) const {
+    const job_outlook outlook = outlook_of(job, deps_.time.now());
     job.prospect = outlook.prospect;
     job.work_left = outlook.work_left;
 }
 
 void cell_coordinator::sort_jobs() {
-    std::ranges::sort(order_, [](const job_work* one, const job_work* other) {
+    std::ranges::sort(open_jobs_, [](const job_state* one, const job_state* other) {
         return is_served_before(*one, *other);
     });
 }
 
-job_work* cell_coordinator::find_job(const job_id& id) {
+job_state* cell_coordinator::find_job(const job_id& id) {
     const auto known = job_index_.find(id);
     return known == job_index_.end() ? nullptr : known->second;
 }
 
-task_work* cell_coordinator::find_task(const task_name& name) {
-    job_work* const job = find_job(name.job);
+task_state* cell_coordinator::find_task(const task_name& name) {
+    job_state* const job = find_job(name.job);
     if (job == nullptr)
         return nullptr;
     const auto occurrence = job->occurrences.find(name.occurrence);
@@ -199,33 +200,33 @@
         return nullptr;
     if (name.step >= occurrence->second->steps.size())
         return nullptr;
-    step_work& step = occurrence->second->steps[name.step];
+    step_state& step = occurrence->second->steps[name.step];
     return name.index < step.tasks.size() ? &step.tasks[name.index] : nullptr;
 }
 
-task_name cell_coordinator::name_of(const task_work& task) {
+task_name cell_coordinator::name_of(const task_state& task) {
     return {task.job->id, task.step->occurrence->number, task.step->number, task.index};
 }
 
-void cell_coordinator::end_task(task_work& task) {
+void cell_coordinator::end_task(task_state& task) {
     if (task.progress.done || task.job->phase != job_phase::open)
         return;
     task.progress.done = true;
     task.progress.checkpoint.clear();
     mark_dirty(*task.job);
     placement_due_ = true;
-    if (--task.step->left == 0)
+    if (--task.step->unfinished == 0)
         end_step(*task.job, *task.step);
 }
 
-void cell_coordinator::end_step(job_work& job, step_work& step) {
-    occurrence_work& occurrence = *step.occurrence;
-    refresh_ready(occurrence);
-    if (--occurrence.steps_left > 0)
+void cell_coordinator::end_step(job_state& job, step_state& step) {
+    occurrence_state& occurrence = *step.occurrence;
+    update_ready(occurrence);
+    if (--occurrence.unfinished_steps > 0)
         return;
     while (job.occurrences_ended < job.occurrences_made) {
         const auto first = job.occurrences.find(job.occurrences_ended);
-        if (first != job.occurrences.end() && first->second->steps_left > 0)
+        if (first != job.occurrences.end() && first->second->unfinished_steps > 0)
             return;
         ++job.occurrences_ended;
     }
@@ -233,31 +234,31 @@
         end_job(job, job_phase::succeeded);
 }
 
-void cell_coordinator::end_job(job_work& job, job_phase phase) {
+void cell_coordinator::end_job(job_state& job, job_phase phase) {
     job.phase = phase;
-    job.ended_at = with_.time.now();
-    std::erase(order_, &job);
+    job.ended_at = deps_.time.now();
+    std::erase(open_jobs_, &job);
     ended_jobs_.push_back(&job);
     mark_dirty(job);
     for (const auto& [number, occurrence] : job.occurrences)
-        for (step_work& step : occurrence->steps)
-            for (task_work& task : step.tasks)
-                if (task.where != nullptr)
+        for (step_state& step : occurrence->steps)
+            for (task_state& task : step.tasks)
+                if (task.assigned_worker != nullptr)
                     request_stop(task);
-    const duration taken = job.ended_at - job.came_at;
+    const duration total_time = job.ended_at - job.submitted_at;
     log_event(log_level::info, "job_ended",
               {{"job", job.id.str()},
                {"queue", job.spec->queue.str()},
                {"phase", std::string(to_string(phase))},
-               {"after_ms", static_cast<std::int64_t>(taken.count() / 1000)}});
+               {"after_ms", static_cast<std::int64_t>(total_time.count() / 1000)}});
 }
 
 void cell_coordinator::drop_ended_jobs() {
-    const instant now = with_.time.now();
+    const instant now = deps_.time.now();
     std::size_t kept = 0;
     while (kept < ended_jobs_.size()) {
-        job_work* const job = ended_jobs_[kept];
-        if (now - job->ended_at <= settings_.status_kept + status_slack)
+        job_state* const job = ended_jobs_[kept];
+        if (now - job->ended_at <= settings_.status_retention + status_slack)
             return;
         if (!may_drop(*job)) {
             ++kept;
@@ -268,19 +269,19 @@
     }
 }
 
-bool cell_coordinator::may_drop(const job_work& job) const {
-    return !job.dirty && !job.widened && !has_runs(job);
+bool cell_coordinator::may_drop(const job_state& job) const {
+    return !job.dirty && !job.ordered_to_changed && !has_runs(job);
 }
 
-void cell_coordinator::drop_job(job_work& job) {
+void cell_coordinator::drop_job(job_state& job) {
     // The intake record is removed first: a job that has one but no progress record would run
     // again.
     const job_id id = job.id;
-    with_.forget(id, [this, weak = std::weak_ptr(alive_), id] {
+    deps_.remove_intake_record(id, [this, weak = std::weak_ptr(alive_), id] {
         if (weak.expired())
             return;
-        with_.journal.write({record_key(record_kind::progress, id.str()), std::nullopt, 0});
-        with_.journal.write({record_key(record_kind::ordered_to, id.str()), std::nullopt, 0});
+        deps_.progress_log.write({record_key(record_kind::progress, id.str()), std::nullopt, 0});
+        deps_.progress_log.write({record_key(record_kind::ordered_to, id.str()), std::nullopt, 0});
         job_index_.erase(id);
         jobs_.erase(id);
     });
--- a/src/cell/coordinator_leases.cpp
+++ b/src/cell/coordinator_leases.cpp
@@ -9,19 +9,19 @@
 
 // Once the platform's store has recovered, a live worker is listed again within two seconds; the
 // rest allows for several more heartbeats.
-constexpr duration unlisted_kept = std::chrono::seconds(15);
+constexpr duration unlisted_retention = std::chrono::seconds(15);
 
 } // namespace
 
 void cell_coordinator::expire_leases() {
-    const instant now = with_.time.now();
+    const instant now = deps_.time.now();
     for (const auto& [id, worker] : workers_) {
         const auto clock_ms = worker->clock.at_least(now);
-        const std::int64_t slack = lapse_slack.count() / 1000;
-        if (!clock_ms || *clock_ms < worker->latest_until_ms + slack)
-            worker->over_since = instant{};
-        else if (is_settled(worker->over_since))
-            end_lease(*worker);
+        const std::int64_t slack = lease_expiry_slack.count() / 1000;
+        if (!clock_ms || *clock_ms < worker->latest_lease_expiry_ms + slack)
+            worker->lease_expired_since = instant{};
+        else if (is_confirmed_since(worker->lease_expired_since))
+            handle_lease_expiry(*worker);
     }
 }
 
@@ -29,43 +29,43 @@
 /// that is disconnected from the log and from some workers sees their leases expire while a
 /// successor that it does not know of renews them; the tasks that it restarted would run twice. A
 /// later confirmation proves that there was no successor.
-bool cell_coordinator::is_settled(instant& since) const {
+bool cell_coordinator::is_confirmed_since(instant& since) const {
     if (since == instant{})
-        since = with_.time.now();
-    return with_.confirmed_at() > since;
+        since = deps_.time.now();
+    return deps_.confirmed_at() > since;
 }
 
 bool cell_coordinator::log_confirms() const {
-    return with_.time.now() - with_.confirmed_at() < fresh_reign;
+    return deps_.time.now() - deps_.confirmed_at() < max_confirmation_age;
 }
 
 /// Returns whether a start may rely on the known notices of workers and operators. While the log
 /// answers, they must be recent enough that no notice period can have ended unseen. While it does
 /// not answer, no notice can be published either.
-bool cell_coordinator::sees_notices() const {
-    return !log_confirms() || with_.sees_notices();
+bool cell_coordinator::has_current_notices() const {
+    return !log_confirms() || deps_.has_current_notices();
 }
 
 /// Handles an expiry of the worker's lease that is certain by any clock. No runs are left there,
 /// except from start orders that no report has shown yet, which bring a lease of their own.
-void cell_coordinator::end_lease(worker_work& worker) {
+void cell_coordinator::handle_lease_expiry(worker_state& worker) {
     const worker_id& id = worker.listing.id;
-    std::vector<task_work*> lost;
-    std::int64_t kept_until_ms = 0;
-    for (task_work* const task : worker.tasks) {
-        if (task->run.may_live_until_ms > worker.latest_until_ms)
-            kept_until_ms = std::max(kept_until_ms, task->run.may_live_until_ms);
+    std::vector<task_state*> lost;
+    std::int64_t remaining_until_ms = 0;
+    for (task_state* const task : worker.tasks) {
+        if (task->run.may_run_until_ms > worker.latest_lease_expiry_ms)
+            remaining_until_ms = std::max(remaining_until_ms, task->run.may_run_until_ms);
         else
             lost.push_back(task);
     }
     if (!lost.empty())
         log_event(log_level::warn, "lease_over",
                   {{"worker", id.str()}, {"runs", static_cast<std::int64_t>(lost.size())}});
-    for (task_work* const task : lost)
+    for (task_state* const task : lost)
         release(*task);
-    if (kept_until_ms > 0) {
-        worker.latest_until_ms = kept_until_ms;
-        worker.over_since = instant{};
+    if (remaining_until_ms > 0) {
+        worker.latest_lease_expiry_ms = remaining_until_ms;
+        worker.lease_expired_since = instant{};
         return;
     }
     // The worker answers again and is being recorded. A removal would follow that record, and the
@@ -75,28 +75,28 @@
     // The worker's record is removed: a successor need neither query the worker nor wait for it.
     if (!std::exchange(worker.registered, false))
         return;
-    offer(worker);
-    with_.journal.write({record_key(record_kind::worker, id.str()), std::nullopt, 0});
+    update_index(worker);
+    deps_.progress_log.write({record_key(record_kind::worker, id.str()), std::nullopt, 0});
 }
 
-void cell_coordinator::forget_gone_workers() {
-    const instant now = with_.time.now();
+void cell_coordinator::remove_unlisted_workers() {
+    const instant now = deps_.time.now();
     std::vector<worker_id> gone;
     for (const auto& [id, worker] : workers_)
-        if (!worker->listed && worker->tasks.empty() && !worker->hold_in_flight &&
-            !worker->registering && now - worker->reported_at > unlisted_kept)
+        if (!worker->listed && worker->tasks.empty() && !worker->renewal_in_flight &&
+            !worker->registering && now - worker->reported_at > unlisted_retention)
             gone.push_back(id);
     for (const worker_id& id : gone) {
         log_event(log_level::info, "worker_forgotten", {{"worker", id.str()}});
-        with_.orders.forget(id);
+        deps_.orders.forget(id);
         if (workers_[id]->registered)
-            with_.journal.write({record_key(record_kind::worker, id.str()), std::nullopt, 0});
-        drop_slot(*workers_[id]);
+            deps_.progress_log.write({record_key(record_kind::worker, id.str()), std::nullopt, 0});
+        remove_slot(*workers_[id]);
         workers_.erase(id);
     }
 }
 
-void cell_coordinator::resolve(const worker_id& id) {
+void cell_coordinator::mark_resolved(const worker_id& id) {
     if (unresolved_.erase(id) == 0)
         return;
     placement_due_ = true;
@@ -105,7 +105,7 @@
 
 /// Rebuilds the marks of unresolved workers, once per placement round, since many workers report at
 /// the same moment. Marks of workers that have reported since only make the check stricter.
-void cell_coordinator::mark_unresolved() {
+void cell_coordinator::update_unresolved_marks() {
     if (marked_unresolved_ == unresolved_.size())
         return;
     marked_unresolved_ = unresolved_.size();
@@ -118,15 +118,16 @@
 void cell_coordinator::log_resolved() const {
     if (!unresolved_.empty())
         return;
-    const duration after = with_.time.now() - began_;
+    const duration after = deps_.time.now() - term_started_at_;
     log_event(log_level::info, "workers_resolved",
               {{"epoch", static_cast<std::int64_t>(epoch_.value())},
                {"after_ms", static_cast<std::int64_t>(after.count() / 1000)}});
 }
 
 void cell_coordinator::resolve_expired() {
-    // The log must have confirmed the term since then, for the reason given at `is_settled`.
-    const instant confirmed = with_.confirmed_at();
+    // The log must have confirmed the term since then, for the reason given at
+    // `is_confirmed_since`.
+    const instant confirmed = deps_.confirmed_at();
     const auto is_over = [confirmed](const auto& worker) {
         const bool over = confirmed > worker.second;
         if (over)
@@ -142,12 +143,12 @@
 /// Returns whether every run of the task from an earlier coordinator is known from reports or has
 /// expired. Only the workers that the log names for the task can have one, so it does not wait for
 /// other unresponsive workers.
-bool cell_coordinator::may_start(const task_work& task) const {
-    if (unresolved_.empty() || !task.job->may_run_elsewhere || task.not_ordered)
+bool cell_coordinator::may_start(const task_state& task) const {
+    if (unresolved_.empty() || !task.job->may_have_earlier_runs || task.not_ordered)
         return true;
-    if (task.job->any_worker_in_doubt)
+    if (task.job->may_run_on_any_worker)
         return false;
-    if (has_own_record(*task.step->spec))
+    if (has_record_per_task(*task.step->spec))
         return !unresolved_.contains(task.progress.ordered_to);
     return !task.job->ordered_to.meets(unresolved_marks_);
 }
--- a/src/cell/coordinator_placement.cpp
+++ b/src/cell/coordinator_placement.cpp
@@ -11,7 +11,7 @@
 
 // Maximum number of starts per tick. The rest follows at the next tick, so that reports are
 // processed in between.
-constexpr std::size_t most_starts_at_once = 40;
+constexpr std::size_t max_starts_per_tick = 40;
 // Weights that group latency-critical tasks of one image on a worker, so that other workers are
 // left to the best-effort images that slow this image. Worth more than an even spread.
 constexpr double other_image_penalty = 1;
@@ -19,8 +19,8 @@
 // A best-effort task is placed where the worst affected latency-critical task is expected to stay
 // below this fraction of its latency target at this margin (a logarithm) above its mean load: half
 // of its load's swing.
-constexpr double usual_aim = 0.95;
-constexpr double usual_load_margin = 0.25;
+constexpr double target_fraction = 0.95;
+constexpr double load_margin = 0.25;
 // One unit of expected slowdown of a neighbour weighs as much as this share of a worker's CPU.
 constexpr double slowdown_weight = 5;
 constexpr double cold_penalty = 1;
@@ -36,17 +36,17 @@
 /// time, so each is late by its downtime, and the resources that they need were theirs. New service
 /// tasks come last: a batch task frees its resources in seconds, a service task keeps them.
 void cell_coordinator::place_all() {
-    if (!sees_notices()) {
+    if (!has_current_notices()) {
         placement_due_ = true;
         return;
     }
-    mark_unresolved();
-    vain_searches_.clear();
+    update_unresolved_marks();
+    failed_searches_.clear();
     const std::vector<waiting_step> waiting = waiting_steps();
-    const std::uint64_t most = counts_.starts + most_starts_at_once;
-    for (const task_turn turn :
-         {task_turn::lasting_again, task_turn::short_task, task_turn::lasting_first})
-        if (!place_steps(waiting, turn, most)) {
+    const std::uint64_t max_starts = counts_.starts + max_starts_per_tick;
+    for (const placement_pass pass : {placement_pass::service_restarts, placement_pass::batch_tasks,
+                                      placement_pass::service_first_starts})
+        if (!place_steps(waiting, pass, max_starts)) {
             placement_due_ = true;
             return;
         }
@@ -55,63 +55,64 @@
 /// Returns ready steps that have tasks without a run, in the scheduling order of their jobs.
 std::vector<cell_coordinator::waiting_step> cell_coordinator::waiting_steps() const {
     std::vector<waiting_step> waiting;
-    for (job_work* const job : order_)
+    for (job_state* const job : open_jobs_)
         for (const auto& [number, occurrence] : job->occurrences)
-            for (step_work& step : occurrence->steps)
-                if (step.ready && step.placed < step.left)
+            for (step_state& step : occurrence->steps)
+                if (step.ready && step.assigned < step.unfinished)
                     waiting.push_back({job, &step});
     return waiting;
 }
 
 /// Starts the tasks of one pass. Returns whether all that can start have been started before the
-/// total number of starts reached `most`.
-bool cell_coordinator::place_steps(const std::vector<waiting_step>& waiting, task_turn turn,
-                                   std::uint64_t most) {
-    const bool lasting = turn != task_turn::short_task;
+/// total number of starts reached `max_starts`.
+bool cell_coordinator::place_steps(const std::vector<waiting_step>& waiting, placement_pass pass,
+                                   std::uint64_t max_starts) {
+    const bool lasting = pass != placement_pass::batch_tasks;
     for (const auto& [job, step] : waiting) {
-        if (step->spec->lasting != lasting || step->placed >= step->left)
+        if (step->spec->lasting != lasting || step->assigned >= step->unfinished)
             continue;
         if (step->spec->gang && may_start(step->tasks.front()))
             place_gang(*job, *step);
         else if (!step->spec->gang)
-            place_step(*job, *step, turn);
-        if (counts_.starts + recording_.size() >= most)
+            place_step(*job, *step, pass);
+        if (counts_.starts + unrecorded_starts_.size() >= max_starts)
             return false;
     }
     return true;
 }
 
-bool cell_coordinator::place_step(job_work& job, step_work& step, task_turn turn) {
-    const instant now = with_.time.now();
+bool cell_coordinator::place_step(job_state& job, step_state& step, placement_pass pass) {
+    const instant now = deps_.time.now();
     // Tasks of other steps share one record of workers, so either all of them or none may start.
-    const bool each = has_own_record(*step.spec);
-    const bool again = turn == task_turn::lasting_again;
-    if (!each && !may_start(step.tasks.front()))
+    const bool per_task = has_record_per_task(*step.spec);
+    const bool restarts_only = pass == placement_pass::service_restarts;
+    if (!per_task && !may_start(step.tasks.front()))
         return false;
     const bool any_worker = log_confirms();
     std::optional<candidates> found;
-    for (task_work& task : step.tasks) {
-        if (task.progress.done || task.where != nullptr || now < task.not_before ||
-            (each && !may_start(task)) || (again && task.progress.ordered_to.empty()))
+    for (task_state& task : step.tasks) {
+        if (task.progress.done || task.assigned_worker != nullptr || now < task.not_before ||
+            (per_task && !may_start(task)) || (restarts_only && task.progress.ordered_to.empty()))
             continue;
         if (any_worker && (!found || found->empty()))
             found = search(job, step, rack_id());
-        worker_work* const worker = any_worker ? best_of(*found, task) : choose_recorded(job, task);
+        worker_state* const worker =
+            any_worker ? best_candidate(*found, task) : choose_recorded(job, task);
         if (worker == nullptr) {
-            ask_advice(job, task);
+            request_advice(job, task);
             return false;
         }
         start(task, *worker, next_run(), task.progress.checkpoint);
         if (any_worker)
-            renew_score(*found, *worker, step);
+            update_score(*found, *worker, step);
     }
     return true;
 }
 
 /// Starts all members of a gang under one run number, or none.
-bool cell_coordinator::place_gang(job_work& job, step_work& step) {
-    task_work& first = step.tasks.front();
-    if (step.placed > 0 || with_.time.now() < first.not_before)
+bool cell_coordinator::place_gang(job_state& job, step_state& step) {
+    task_state& first = step.tasks.front();
+    if (step.assigned > 0 || deps_.time.now() < first.not_before)
         return false;
     // The members of a one-rack gang must share a rack; each rack is tried once.
     absl::flat_hash_set<rack_id> racks;
@@ -121,14 +122,14 @@
     else
         racks.insert(rack_id());
     for (const rack_id& rack : racks) {
-        std::vector<worker_work*> chosen;
-        for (task_work& task : step.tasks) {
-            worker_work* const worker = choose(job, task, rack);
+        std::vector<worker_state*> chosen;
+        for (task_state& task : step.tasks) {
+            worker_state* const worker = choose_worker(job, task, rack);
             if (worker == nullptr) {
-                ask_advice(job, task);
+                request_advice(job, task);
                 break;
             }
-            bind(task, *worker);
+            assign(task, *worker);
             chosen.push_back(worker);
         }
         if (chosen.size() == step.tasks.size()) {
@@ -144,52 +145,52 @@
     return false;
 }
 
-bool cell_coordinator::usable(const worker_work& worker, const job_work& job) const {
-    const instant now = with_.time.now();
-    return worker.listed && !worker.listing.leaving && worker.heard && worker.registered &&
-           !worker.silent && worker.listing.service == job.service && now >= worker.rest_until &&
-           now - worker.reported_at < reported_within &&
+bool cell_coordinator::is_usable(const worker_state& worker, const job_state& job) const {
+    const instant now = deps_.time.now();
+    return worker.listed && !worker.listing.leaving && worker.reported_this_term &&
+           worker.registered && !worker.unresponsive && worker.listing.service == job.service &&
+           now >= worker.quarantined_until && now - worker.reported_at < max_report_age &&
            !evacuated_.contains(worker.listing.data_centre);
 }
 
-bool cell_coordinator::admits(const worker_work& worker, const step_work& step) const {
+bool cell_coordinator::admits(const worker_state& worker, const step_state& step) const {
     const step_spec& spec = *step.spec;
     resources size = spec.size;
     if (spec.filling) {
-        if (!may_fill(worker, step))
+        if (!admits_best_effort(worker, step))
             return false;
         size.cpu_millis = 0;
     }
     // All dimensions are checked, even if the worker enforces its capacity itself.
-    if (!worker.strays)
+    if (!worker.orphaned)
         return false;
-    resources room = worker.listing.capacity - worker.taken - *worker.strays;
+    resources room = worker.listing.capacity - worker.allocated - *worker.orphaned;
     if (!spec.lasting)
-        room -= worker.kept;
+        room -= worker.reserved;
     if (!fits(size, room))
         return false;
     if (!spec.label.empty() && std::ranges::count(worker.listing.labels, spec.label) == 0)
         return false;
     if (spec.most_per_worker == 0)
         return true;
-    const auto beside = std::ranges::count_if(
-        worker.tasks, [&step](const task_work* other) { return other->step == &step; });
-    return static_cast<std::uint32_t>(beside) < spec.most_per_worker;
+    const auto same_step_tasks = std::ranges::count_if(
+        worker.tasks, [&step](const task_state* other) { return other->step == &step; });
+    return static_cast<std::uint32_t>(same_step_tasks) < spec.most_per_worker;
 }
 
 /// Returns the placement score of a step's task on a worker; higher is better.
-double cell_coordinator::score(const worker_work& worker, const step_work& step) const {
+double cell_coordinator::score(const worker_state& worker, const step_state& step) const {
     const step_spec& spec = *step.spec;
     const resources& capacity = worker.listing.capacity;
-    const resources left = capacity - worker.taken;
+    const resources left = capacity - worker.allocated;
     double value = 0;
     if (spec.filling)
-        value = score_filling(worker, step);
+        value = score_best_effort(worker, step);
     else
         value = std::min(share(left.cpu_millis - spec.size.cpu_millis, capacity.cpu_millis),
                          share(left.memory_mib - spec.size.memory_mib, capacity.memory_mib));
     if (spec.tail_target > duration::zero())
-        value += score_serving(worker, step);
+        value += score_latency_critical(worker, step);
     if (!spec.near_rack.empty() && worker.listing.rack == spec.near_rack)
         value += near_data_bonus;
     if (worker.listing.cold_left > duration::zero())
@@ -199,58 +200,62 @@
 
 /// Scores a latency-critical task higher where the other latency-critical tasks are slowed by the
 /// same best-effort images.
-double cell_coordinator::score_serving(const worker_work& worker, const step_work& step) const {
+double cell_coordinator::score_latency_critical(const worker_state& worker,
+                                                const step_state& step) const {
     double difference = 0;
-    for (const auto& [image, tasks] : worker.serving)
+    for (const auto& [image, tasks] : worker.latency_critical_images)
         difference = std::max(difference, slowdowns_.difference(image, step.image));
-    const bool same = worker.serving.contains(step.image);
+    const bool same = worker.latency_critical_images.contains(step.image);
     return (same ? same_image_bonus * (1 - difference) : 0) - difference * other_image_penalty;
 }
 
 /// Returns the CPU left to best-effort tasks, in thousandths of a core. Includes what service tasks
 /// have requested but rarely use.
-std::int64_t cell_coordinator::left_to_fill(const worker_work& worker) const {
-    const auto unused =
-        static_cast<std::int64_t>(static_cast<double>(worker.lasting_cpu) * (1 - lasting_use));
-    return worker.listing.capacity.cpu_millis - worker.taken.cpu_millis + unused -
-           worker.filling_cpu;
+std::int64_t cell_coordinator::best_effort_cpu_left(const worker_state& worker) const {
+    const auto unused = static_cast<std::int64_t>(static_cast<double>(worker.service_cpu) *
+                                                  (1 - service_cpu_utilisation));
+    return worker.listing.capacity.cpu_millis - worker.allocated.cpu_millis + unused -
+           worker.best_effort_cpu;
 }
 
-bool cell_coordinator::may_fill(const worker_work& worker, const step_work& step) const {
+bool cell_coordinator::admits_best_effort(const worker_state& worker,
+                                          const step_state& step) const {
     // A best-effort service task has to run all the time, if slowly. Others of its kind that have
     // taken the CPU never end, so a wait for free CPU could last forever.
     if (step.spec->lasting)
         return true;
-    if (left_to_fill(worker) < step.spec->size.cpu_millis)
+    if (best_effort_cpu_left(worker) < step.spec->size.cpu_millis)
         return false;
-    if (!worker.sharing.admits_filling(with_.time.now()))
+    if (!worker.sharing.admits_filling(deps_.time.now()))
         return false;
-    const double more = share(step.spec->size.cpu_millis, worker.listing.capacity.cpu_millis);
-    return std::ranges::all_of(worker.serving, [&](const auto& group) {
+    const double added_share =
+        share(step.spec->size.cpu_millis, worker.listing.capacity.cpu_millis);
+    return std::ranges::all_of(worker.latency_critical_images, [&](const auto& group) {
         const image_number served = group.first;
-        const double expected = slowdowns_.slowdown_of(served, worker.filling_images) +
-                                slowdowns_.slowdown(served, step.image) * more;
-        return expected <= slowdowns_.usual_headroom(served, usual_load_margin, usual_aim);
+        const double expected = slowdowns_.slowdown_of(served, worker.best_effort_images) +
+                                slowdowns_.slowdown(served, step.image) * added_share;
+        return expected <= slowdowns_.usual_headroom(served, load_margin, target_fraction);
     });
 }
 
-double cell_coordinator::score_filling(const worker_work& worker, const step_work& step) const {
+double cell_coordinator::score_best_effort(const worker_state& worker,
+                                           const step_state& step) const {
     const std::int64_t cores = worker.listing.capacity.cpu_millis;
-    const double more = share(step.spec->size.cpu_millis, cores);
+    const double added_share = share(step.spec->size.cpu_millis, cores);
     double worst = 0;
-    for (const auto& [served, tasks] : worker.serving)
-        worst = std::max(worst, slowdowns_.slowdown(served, step.image) * more);
-    return share(left_to_fill(worker), cores) - more - slowdown_weight * worst;
+    for (const auto& [served, tasks] : worker.latency_critical_images)
+        worst = std::max(worst, slowdowns_.slowdown(served, step.image) * added_share);
+    return share(best_effort_cpu_left(worker), cores) - added_share - slowdown_weight * worst;
 }
 
 /// Stops service tasks on workers that are about to leave, so that they are started elsewhere while
 /// the worker still runs; other tasks may finish there.
-void cell_coordinator::leave_leaving_workers() {
+void cell_coordinator::drain_leaving_workers() {
     for (const auto& [id, worker] : workers_) {
         if (!worker->listing.leaving)
             continue;
-        const std::vector<task_work*> tasks(worker->tasks.begin(), worker->tasks.end());
-        for (task_work* const task : tasks)
+        const std::vector<task_state*> tasks(worker->tasks.begin(), worker->tasks.end());
+        for (task_state* const task : tasks)
             if (task->step->spec->lasting)
                 request_stop(*task);
     }
--- a/src/cell/coordinator_records.cpp
+++ b/src/cell/coordinator_records.cpp
@@ -6,7 +6,7 @@
 namespace figwinch {
 namespace {
 
-job_progress progress_of(const job_work& job) {
+job_progress progress_of(const job_state& job) {
     job_progress progress;
     progress.begun = job.begun;
     progress.phase = job.phase;
@@ -15,9 +15,9 @@
         return progress;
     for (const auto& [number, occurrence] : job.occurrences) {
         occurrence_progress& kept = progress.occurrences[number];
-        for (const step_work& step : occurrence->steps) {
+        for (const step_state& step : occurrence->steps) {
             std::vector<task_progress>& tasks = kept.steps.emplace_back();
-            for (const task_work& task : step.tasks)
+            for (const task_state& task : step.tasks)
                 tasks.push_back(task.progress);
         }
     }
@@ -26,53 +26,53 @@
 
 } // namespace
 
-void cell_coordinator::mark_dirty(job_work& job) {
+void cell_coordinator::mark_dirty(job_state& job) {
     if (std::exchange(job.dirty, true))
         return;
     dirty_.push_back(&job);
 }
 
-void cell_coordinator::mark_widened(job_work& job, const worker_work& worker) {
+void cell_coordinator::add_ordered_to(job_state& job, const worker_state& worker) {
     job.ordered_to.add(worker.listing.id);
-    if (!std::exchange(job.widened, true))
-        widened_.push_back(&job);
+    if (!std::exchange(job.ordered_to_changed, true))
+        ordered_to_changed_.push_back(&job);
 }
 
 void cell_coordinator::write_dirty() {
-    for (job_work* const job : std::exchange(widened_, {})) {
-        job->widened = false;
-        with_.journal.write(
+    for (job_state* const job : std::exchange(ordered_to_changed_, {})) {
+        job->ordered_to_changed = false;
+        deps_.progress_log.write(
             {record_key(record_kind::ordered_to, job->id.str()), job->ordered_to.encode(), 0});
     }
-    for (job_work* const job : std::exchange(dirty_, {})) {
+    for (job_state* const job : std::exchange(dirty_, {})) {
         job->dirty = false;
         write_progress(*job);
     }
 }
 
-void cell_coordinator::write_progress(const job_work& job) {
-    with_.journal.write(
+void cell_coordinator::write_progress(const job_state& job) {
+    deps_.progress_log.write(
         {record_key(record_kind::progress, job.id.str()), encode_progress(progress_of(job)), 0});
 }
 
 /// Returns whether the log has a worker record for each task of the step. Service tasks have one,
 /// since they must restart soon after a change of coordinator and are few. For other tasks the job
 /// records all workers that it uses. Members of a gang start and end together.
-bool cell_coordinator::has_own_record(const step_spec& step) {
+bool cell_coordinator::has_record_per_task(const step_spec& step) {
     return step.lasting && !step.gang;
 }
 
 /// Returns whether the log has a record that runs of the task may be on the worker.
-bool cell_coordinator::is_recorded_at(const task_work& task, const worker_work& worker) {
-    if (!has_own_record(*task.step->spec))
+bool cell_coordinator::is_recorded_at(const task_state& task, const worker_state& worker) {
+    if (!has_record_per_task(*task.step->spec))
         return task.job->recorded_to.may_have(worker.listing.id);
     return task.recorded && task.progress.ordered_to == worker.listing.id;
 }
 
 /// Writes a record that runs of the task may be on the worker.
-void cell_coordinator::note_place(task_work& task, const worker_work& worker) {
-    if (!has_own_record(*task.step->spec))
-        return mark_widened(*task.job, worker);
+void cell_coordinator::record_placement(task_state& task, const worker_state& worker) {
+    if (!has_record_per_task(*task.step->spec))
+        return add_ordered_to(*task.job, worker);
     task.progress.ordered_to = worker.listing.id;
     task.recorded = false;
     mark_dirty(*task.job);
@@ -80,12 +80,12 @@
 
 /// Sends the start orders of this round that wait for their records, in one batch.
 void cell_coordinator::order_when_recorded() {
-    if (recording_.empty())
+    if (unrecorded_starts_.empty())
         return;
     write_dirty();
-    with_.journal.barrier(
-        [this, weak = std::weak_ptr(alive_), starts = std::exchange(recording_, {})] {
-            if (weak.expired() || deposed_)
+    deps_.progress_log.barrier(
+        [this, weak = std::weak_ptr(alive_), starts = std::exchange(unrecorded_starts_, {})] {
+            if (weak.expired() || superseded_)
                 return;
             for (const auto& [name, run] : starts)
                 order_recorded(name, run);
@@ -93,21 +93,21 @@
 }
 
 void cell_coordinator::order_recorded(const task_name& name, run_number run) {
-    task_work* const task = find_task(name);
-    if (task == nullptr || task->where == nullptr || task->run.number != run)
+    task_state* const task = find_task(name);
+    if (task == nullptr || task->assigned_worker == nullptr || task->run.number != run)
         return;
-    worker_work& worker = *task->where;
-    if (has_own_record(*task->step->spec))
+    worker_state& worker = *task->assigned_worker;
+    if (has_record_per_task(*task->step->spec))
         task->recorded = true;
     else
         task->job->recorded_to.add(worker.listing.id);
-    if (task->run.now != task_run::phase::starting)
+    if (task->run.current_phase != task_run::phase::starting)
         return;
     // The log may not have answered for seconds: by now the worker may be leaving.
-    if (!sees_notices())
-        return give_back(*task, worker, "view_old", duration::zero());
-    if (!usable(worker, *task->job))
-        return give_back(*task, worker, "unusable", duration::zero());
+    if (!has_current_notices())
+        return handle_refused_start(*task, worker, "view_old", duration::zero());
+    if (!is_usable(worker, *task->job))
+        return handle_refused_start(*task, worker, "unusable", duration::zero());
     order_start(*task);
 }
 
--- a/src/cell/coordinator_reports.cpp
+++ b/src/cell/coordinator_reports.cpp
@@ -12,56 +12,56 @@
 
 } // namespace
 
-void cell_coordinator::take_ends(worker_work& worker, const std::vector<ended_row>& rows) {
-    const std::uint64_t seen_before = worker.seen;
+void cell_coordinator::apply_ended_runs(worker_state& worker, const std::vector<ended_row>& rows) {
+    const std::uint64_t seen_before = worker.ends_processed;
     for (const ended_row& row : rows) {
-        if (row.number <= worker.seen)
+        if (row.number <= worker.ends_processed)
             continue;
-        worker.seen = row.number;
-        take_end(worker, row);
+        worker.ends_processed = row.number;
+        apply_ended_run(worker, row);
     }
-    if (worker.seen == seen_before)
+    if (worker.ends_processed == seen_before)
         return;
     // A worker discards an ended run once its end is acknowledged, so the log must have it first.
     write_dirty();
-    with_.journal.barrier([this, weak = std::weak_ptr(alive_), id = worker.listing.id,
-                           born = worker.born_ms, noted = worker.seen] {
+    deps_.progress_log.barrier([this, weak = std::weak_ptr(alive_), id = worker.listing.id,
+                                born = worker.born_ms, noted = worker.ends_processed] {
         if (weak.expired())
             return;
-        worker_work* const known = find_worker(id);
+        worker_state* const known = find_worker(id);
         if (known == nullptr || known->born_ms != born)
             return;
-        known->noted = std::max(known->noted, noted);
-        hold_at(*known, with_.time.now());
+        known->ends_recorded = std::max(known->ends_recorded, noted);
+        schedule_renewal(*known, deps_.time.now());
     });
 }
 
-void cell_coordinator::take_running(worker_work& worker, const worker_report& report,
-                                    instant asked) {
-    const std::uint64_t number = ++worker.reports;
-    worker.wants_names = false;
-    std::vector<const task_work*> shown;
+void cell_coordinator::apply_running_runs(worker_state& worker, const worker_report& report,
+                                          instant asked) {
+    const std::uint64_t number = ++worker.report_count;
+    worker.needs_task_names = false;
+    std::vector<const task_state*> shown;
     shown.reserve(report.running.size());
     for (const running_row& row : report.running) {
-        task_work* const task = task_of(worker, row);
+        task_state* const task = task_of(worker, row);
         shown.push_back(task);
         if (task == nullptr && row.task.empty()) {
-            worker.wants_names = true;
+            worker.needs_task_names = true;
             continue;
         }
-        take_row(worker, row, task);
-        if (task != nullptr && task->where == &worker && task->run.number == row.run)
-            task->run.shown_in = number;
+        apply_running_run(worker, row, task);
+        if (task != nullptr && task->assigned_worker == &worker && task->run.number == row.run)
+            task->run.shown_in_report = number;
     }
-    drop_missing(worker, report, asked);
-    worker.strays = stray_size(worker, report, shown);
+    release_missing_runs(worker, report, asked);
+    worker.orphaned = orphan_resources(worker, report, shown);
 }
 
 /// Returns the task of a row in a worker's report. Nearly all rows show runs known to be there,
 /// which are found without a lookup by name.
-task_work* cell_coordinator::task_of(const worker_work& worker, const running_row& row) {
-    task_work* found = nullptr;
-    for (task_work* const task : worker.tasks) {
+task_state* cell_coordinator::task_of(const worker_state& worker, const running_row& row) {
+    task_state* found = nullptr;
+    for (task_state* const task : worker.tasks) {
         if (task->run.number != row.run)
             continue;
         if (task->run.name == row.task)
@@ -77,10 +77,11 @@
     return name ? find_task(*name) : nullptr;
 }
 
-void cell_coordinator::take_row(worker_work& worker, const running_row& row, task_work* task) {
-    const instant now = with_.time.now();
+void cell_coordinator::apply_running_run(worker_state& worker, const running_row& row,
+                                         task_state* task) {
+    const instant now = deps_.time.now();
     const bool wanted = task != nullptr && task->job->phase == job_phase::open &&
-                        !task->progress.done && task->where == nullptr;
+                        !task->progress.done && task->assigned_worker == nullptr;
     if (wanted) {
         // Adopts a run that a predecessor started, or whose start order was not answered.
         task->run = task_run{};
@@ -88,29 +89,29 @@
         task->run.name = row.task;
         task->run.ordered_at = now;
         task->run.seen_at = now;
-        task->run.now = task_run::phase::running;
-        task->run.settled_at = now;
+        task->run.current_phase = task_run::phase::running;
+        task->run.no_order_since = now;
         task->job->begun = true;
         // The report does not tell the CPU throttle of an adopted run.
         if (task->step->spec->filling)
-            task->run.pace_set = task_run::pace_unknown;
-        bind(*task, worker);
+            task->run.throttle_in_force = task_run::throttle_unknown;
+        assign(*task, worker);
         // The next successor looks for the run on the workers that the log names.
         if (!is_recorded_at(*task, worker))
-            note_place(*task, worker);
+            record_placement(*task, worker);
     }
     // A predecessor that had not noticed yet that it was superseded may have started a job that has
     // not been read here. Stopping the run as orphaned would lose its work, and the job would be
     // started again beside it.
-    if (task == nullptr && now - began_ < unread_job_wait)
+    if (task == nullptr && now - term_started_at_ < unread_job_wait)
         return;
-    if (task == nullptr || task->where != &worker || task->run.number != row.run)
-        return stop_stray(worker, row.task, row.run);
+    if (task == nullptr || task->assigned_worker != &worker || task->run.number != row.run)
+        return stop_orphaned_run(worker, row.task, row.run);
     task_run& run = task->run;
-    run.may_live_until_ms = 0;
-    if (run.now == task_run::phase::starting)
-        run.now = task_run::phase::running;
-    note_progress(run, row.percent);
+    run.may_run_until_ms = 0;
+    if (run.current_phase == task_run::phase::starting)
+        run.current_phase = task_run::phase::running;
+    update_progress(run, row.percent);
     run.recent = row.recent;
     if (!row.checkpoint.empty())
         run.checkpoint = row.checkpoint;
@@ -118,20 +119,20 @@
 
 /// Releases runs that the worker's report proves gone: the report was requested after the last
 /// order about the run was answered, or the start order has expired by the worker's clock.
-void cell_coordinator::drop_missing(worker_work& worker, const worker_report& report,
-                                    instant asked) {
-    std::vector<task_work*> gone;
-    for (task_work* const task : worker.tasks) {
+void cell_coordinator::release_missing_runs(worker_state& worker, const worker_report& report,
+                                            instant asked) {
+    std::vector<task_state*> gone;
+    for (task_state* const task : worker.tasks) {
         const task_run& run = task->run;
-        if (run.shown_in == worker.reports)
+        if (run.shown_in_report == worker.report_count)
             continue;
-        const bool settled = run.settled_at && *run.settled_at < asked;
-        const bool start_passed = run.now == task_run::phase::stopping && !run.settled_at &&
-                                  run.start_until_ms < report.clock_ms;
+        const bool settled = run.no_order_since && *run.no_order_since < asked;
+        const bool start_passed = run.current_phase == task_run::phase::stopping &&
+                                  !run.no_order_since && run.start_expires_ms < report.clock_ms;
         if (settled || start_passed)
             gone.push_back(task);
     }
-    for (task_work* const task : gone) {
+    for (task_state* const task : gone) {
         log_event(log_level::warn, "run_gone",
                   {{"task", to_string(name_of(*task))}, {"worker", worker.listing.id.str()}});
         release(*task);
@@ -141,15 +142,15 @@
 /// Returns the resources of reported runs that do not belong to this worker's tasks. They count
 /// until the runs have gone, also while they are being stopped. Returns nothing if the task of a
 /// run is unknown.
-std::optional<resources> cell_coordinator::stray_size(const worker_work& worker,
-                                                      const worker_report& report,
-                                                      const std::vector<const task_work*>& shown) {
+std::optional<resources>
+cell_coordinator::orphan_resources(const worker_state& worker, const worker_report& report,
+                                   const std::vector<const task_state*>& shown) {
     resources sum;
     for (std::size_t index = 0; index < shown.size(); ++index) {
-        const task_work* const task = shown[index];
+        const task_state* const task = shown[index];
         if (task == nullptr)
             return std::nullopt;
-        if (task->where == &worker && task->run.number == report.running[index].run)
+        if (task->assigned_worker == &worker && task->run.number == report.running[index].run)
             continue;
         resources size = task->step->spec->size;
         size.cpu_millis = task->step->spec->filling ? 0 : size.cpu_millis;
--- a/src/cell/coordinator_room.cpp
+++ b/src/cell/coordinator_reservations.cpp
@@ -9,46 +9,46 @@
 /// more would wait as long as they keep coming; so would one that may not start yet because its
 /// earlier run may still exist. On workers with a reservation the batch tasks finish without
 /// replacement, which frees the resources within seconds.
-void cell_coordinator::keep_room() {
+void cell_coordinator::update_reservations() {
     for (const auto& [id, worker] : workers_)
-        worker->kept = {};
-    const std::vector<const task_work*> waiting = lasting_without_run();
+        worker->reserved = {};
+    const std::vector<const task_state*> waiting = service_tasks_without_run();
     if (waiting.empty())
         return;
     // Workers by free CPU; those whose service tasks leave too little are skipped below.
-    std::priority_queue<std::pair<std::int64_t, worker_work*>> by_room;
+    std::priority_queue<std::pair<std::int64_t, worker_state*>> by_room;
     for (const auto& [id, worker] : workers_)
-        if (takes_starts(*worker))
-            by_room.emplace(worker->listing.capacity.cpu_millis - worker->taken.cpu_millis,
+        if (accepts_starts(*worker))
+            by_room.emplace(worker->listing.capacity.cpu_millis - worker->allocated.cpu_millis,
                             worker.get());
-    for (const task_work* const task : waiting) {
+    for (const task_state* const task : waiting) {
         const resources& size = task->step->spec->size;
         while (!by_room.empty()) {
             const auto [room, worker] = by_room.top();
             by_room.pop();
             const resources& capacity = worker->listing.capacity;
-            const std::int64_t for_lasting = capacity.cpu_millis - worker->lasting_cpu;
-            if (for_lasting - worker->kept.cpu_millis < size.cpu_millis ||
-                capacity.memory_mib - worker->kept.memory_mib < size.memory_mib ||
-                !usable(*worker, *task->job))
+            const std::int64_t for_lasting = capacity.cpu_millis - worker->service_cpu;
+            if (for_lasting - worker->reserved.cpu_millis < size.cpu_millis ||
+                capacity.memory_mib - worker->reserved.memory_mib < size.memory_mib ||
+                !is_usable(*worker, *task->job))
                 continue;
-            worker->kept += size;
+            worker->reserved += size;
             by_room.emplace(room - size.cpu_millis, worker);
             break;
         }
     }
 }
 
-std::vector<const task_work*> cell_coordinator::lasting_without_run() const {
-    std::vector<const task_work*> waiting;
-    for (const job_work* const job : order_)
+std::vector<const task_state*> cell_coordinator::service_tasks_without_run() const {
+    std::vector<const task_state*> waiting;
+    for (const job_state* const job : open_jobs_)
         for (const auto& [number, occurrence] : job->occurrences)
-            for (const step_work& step : occurrence->steps) {
+            for (const step_state& step : occurrence->steps) {
                 if (!step.spec->lasting || step.spec->filling || !step.ready ||
-                    step.placed >= step.left)
+                    step.assigned >= step.unfinished)
                     continue;
-                for (const task_work& task : step.tasks)
-                    if (task.where == nullptr && !task.progress.done &&
+                for (const task_state& task : step.tasks)
+                    if (task.assigned_worker == nullptr && !task.progress.done &&
                         !task.progress.ordered_to.empty())
                         waiting.push_back(&task);
             }
--- a/src/cell/coordinator_runs.cpp
+++ b/src/cell/coordinator_runs.cpp
@@ -7,13 +7,13 @@
 namespace figwinch {
 namespace {
 
-constexpr duration rest_after_refusal = std::chrono::milliseconds(700);
-constexpr duration rest_without_room = std::chrono::milliseconds(300);
-constexpr duration pause_per_failure = std::chrono::milliseconds(100);
+constexpr duration quarantine_after_refusal = std::chrono::milliseconds(700);
+constexpr duration quarantine_without_room = std::chrono::milliseconds(300);
+constexpr duration backoff_per_failure = std::chrono::milliseconds(100);
 // Failed runs of this many different jobs in a row put a worker in quarantine. If one run in 30
 // fails, three in a row happen by chance once in 27,000 runs.
-constexpr std::uint32_t failures_to_rest = 3;
-constexpr duration rest_after_failures = std::chrono::seconds(4);
+constexpr std::uint32_t failures_to_quarantine = 3;
+constexpr duration quarantine_after_failures = std::chrono::seconds(4);
 
 const char* end_name(run_end end) {
     static constexpr std::array names = {"done", "failed", "stopped", "lapsed", "broken", "alone"};
@@ -24,40 +24,41 @@
 
 /// Assigns a task to a worker. The start order is sent at once, or once the log has a record that
 /// the run may be there.
-void cell_coordinator::start(task_work& task, worker_work& worker, run_number run,
+void cell_coordinator::start(task_state& task, worker_state& worker, run_number run,
                              const std::string& checkpoint) {
     task.run = task_run{};
     task.run.number = run;
     task.run.checkpoint = checkpoint;
-    if (task.where == nullptr)
-        bind(task, worker);
+    if (task.assigned_worker == nullptr)
+        assign(task, worker);
     if (!std::exchange(task.job->begun, true))
         mark_dirty(*task.job);
     if (is_recorded_at(task, worker))
         return order_start(task);
-    note_place(task, worker);
-    recording_.emplace_back(name_of(task), run);
+    record_placement(task, worker);
+    unrecorded_starts_.emplace_back(name_of(task), run);
 }
 
-void cell_coordinator::order_start(task_work& task) {
-    const instant now = with_.time.now();
-    worker_work& worker = *task.where;
+void cell_coordinator::order_start(task_state& task) {
+    const instant now = deps_.time.now();
+    worker_state& worker = *task.assigned_worker;
     const run_number run = task.run.number;
     const std::string& checkpoint = task.run.checkpoint;
     const std::int64_t clock_ms = worker.clock.at_least(now).value_or(0);
     task.run.ordered_at = now;
     task.run.seen_at = now;
-    task.run.start_until_ms = clock_ms + start_validity.count() / 1000;
-    worker.latest_until_ms = std::max(worker.latest_until_ms, task.run.start_until_ms);
-    task.run.may_live_until_ms = clock_ms + settings_.max_hold.count() / 1000;
+    task.run.start_expires_ms = clock_ms + start_validity.count() / 1000;
+    worker.latest_lease_expiry_ms =
+        std::max(worker.latest_lease_expiry_ms, task.run.start_expires_ms);
+    task.run.may_run_until_ms = clock_ms + settings_.max_granted_lease.count() / 1000;
     ++counts_.starts;
     const task_name name = name_of(task);
-    start_order order{to_string(name),         run,    task.job->spec->payload, checkpoint,
-                      task.run.start_until_ms, epoch_, ticket_for(task, worker)};
+    start_order order{to_string(name),           run,    task.job->spec->payload, checkpoint,
+                      task.run.start_expires_ms, epoch_, ticket_for(task, worker)};
     order.born_ms = worker.born_ms;
     order.still_wanted = [this, weak = std::weak_ptr(alive_), name, run, id = worker.listing.id,
                           born_ms = worker.born_ms] {
-        return !weak.expired() && !deposed_ && is_start_wanted(name, run, id, born_ms);
+        return !weak.expired() && !superseded_ && is_start_wanted(name, run, id, born_ms);
     };
     task.run.name = order.task;
     log_event(log_level::info, "task_started",
@@ -65,11 +66,11 @@
                {"run", static_cast<std::int64_t>(run.value())},
                {"worker", worker.listing.id.str()},
                {"resumed", !checkpoint.empty()}});
-    with_.orders.start(worker.listing, order,
+    deps_.orders.start(worker.listing, order,
                        [this, weak = std::weak_ptr(alive_), name, run,
                         id = worker.listing.id](const order_answer& answer) {
-                           if (!weak.expired() && !deposed_)
-                               take_start_answer(name, run, id, answer);
+                           if (!weak.expired() && !superseded_)
+                               handle_start_answer(name, run, id, answer);
                        });
 }
 
@@ -77,130 +78,135 @@
 /// enough for delivery, and the start would still be allowed now.
 bool cell_coordinator::is_start_wanted(const task_name& name, run_number run, const worker_id& id,
                                        std::uint64_t born_ms) {
-    const worker_work* const worker = find_worker(id);
-    const task_work* const task = find_task(name);
-    if (task == nullptr || worker == nullptr || task->where != worker || task->run.number != run)
+    const worker_state* const worker = find_worker(id);
+    const task_state* const task = find_task(name);
+    if (task == nullptr || worker == nullptr || task->assigned_worker != worker ||
+        task->run.number != run)
         return false;
-    const duration waited = with_.time.now() - task->run.ordered_at;
-    return task->run.now == task_run::phase::starting && worker->born_ms == born_ms &&
-           waited < start_validity - order_way && sees_notices() && usable(*worker, *task->job);
+    const duration waited = deps_.time.now() - task->run.ordered_at;
+    return task->run.current_phase == task_run::phase::starting && worker->born_ms == born_ms &&
+           waited < start_validity - order_delivery_time && has_current_notices() &&
+           is_usable(*worker, *task->job);
 }
 
-void cell_coordinator::take_start_answer(const task_name& name, run_number run, const worker_id& id,
-                                         const order_answer& answer) {
-    const instant now = with_.time.now();
+void cell_coordinator::handle_start_answer(const task_name& name, run_number run,
+                                           const worker_id& id, const order_answer& answer) {
+    const instant now = deps_.time.now();
     if (answer.outcome == order_outcome::superseded)
-        return be_deposed();
-    worker_work* const worker = find_worker(id);
+        return handle_superseded();
+    worker_state* const worker = find_worker(id);
     if (worker != nullptr && answer.clock_ms)
         worker->clock.observe(*answer.clock_ms, now);
-    task_work* const task = find_task(name);
-    if (task == nullptr || worker == nullptr || task->where != worker || task->run.number != run)
+    task_state* const task = find_task(name);
+    if (task == nullptr || worker == nullptr || task->assigned_worker != worker ||
+        task->run.number != run)
         return;
     task_run& state = task->run;
     if (!answer.may_reach_other_life)
-        state.may_live_until_ms = 0;
+        state.may_run_until_ms = 0;
     switch (answer.outcome) {
     case order_outcome::done:
-        if (state.now == task_run::phase::stopping)
+        if (state.current_phase == task_run::phase::stopping)
             return;
-        state.now = task_run::phase::running;
-        state.settled_at = now;
+        state.current_phase = task_run::phase::running;
+        state.no_order_since = now;
         return;
     case order_outcome::unknown:
         log_event(log_level::warn, "start_unanswered",
                   {{"task", to_string(name)},
                    {"worker", id.str()},
                    {"may_reach_other_life", answer.may_reach_other_life}});
-        worker->rest_until = now + rest_after_refusal;
-        if (state.now == task_run::phase::running)
-            state.settled_at = now;
+        worker->quarantined_until = now + quarantine_after_refusal;
+        if (state.current_phase == task_run::phase::running)
+            state.no_order_since = now;
         else
             request_stop(*task);
         return;
     case order_outcome::not_advised:
         task->step->advice.drop_ticket(id);
-        return give_back(*task, *worker, to_string(answer.outcome), duration::zero());
+        return handle_refused_start(*task, *worker, to_string(answer.outcome), duration::zero());
     case order_outcome::no_room:
-        return give_back(*task, *worker, to_string(answer.outcome), rest_without_room);
+        return handle_refused_start(*task, *worker, to_string(answer.outcome),
+                                    quarantine_without_room);
     case order_outcome::too_late:
-        return give_back(*task, *worker, to_string(answer.outcome), duration::zero());
+        return handle_refused_start(*task, *worker, to_string(answer.outcome), duration::zero());
     default:
-        return give_back(*task, *worker, to_string(answer.outcome), rest_after_refusal);
+        return handle_refused_start(*task, *worker, to_string(answer.outcome),
+                                    quarantine_after_refusal);
     }
 }
 
 /// Updates the worker's list of images, which placement uses, from its tasks.
-void cell_coordinator::list_images(worker_work& worker) {
+void cell_coordinator::update_images(worker_state& worker) {
     const auto cores = static_cast<double>(worker.listing.capacity.cpu_millis);
-    worker.filling_images.clear();
-    worker.serving.clear();
-    for (const task_work* const task : worker.tasks) {
+    worker.best_effort_images.clear();
+    worker.latency_critical_images.clear();
+    for (const task_state* const task : worker.tasks) {
         const step_spec& spec = *task->step->spec;
         if (spec.filling)
-            worker.filling_images.push_back(
+            worker.best_effort_images.push_back(
                 {task->step->image, static_cast<double>(spec.size.cpu_millis) / cores});
         else if (spec.tail_target > duration::zero())
-            ++worker.serving[task->step->image];
+            ++worker.latency_critical_images[task->step->image];
     }
-    tag_images(worker);
+    update_image_tags(worker);
 }
 
 /// Handles a refused start order. No run of it is on the worker.
-void cell_coordinator::give_back(task_work& task, worker_work& worker, std::string_view why,
-                                 duration rest) {
+void cell_coordinator::handle_refused_start(task_state& task, worker_state& worker,
+                                            std::string_view why, duration quarantine) {
     log_event(log_level::warn, "start_refused",
               {{"task", to_string(name_of(task))},
                {"worker", worker.listing.id.str()},
                {"why", std::string(why)}});
-    worker.rest_until = std::max(worker.rest_until, with_.time.now() + rest);
+    worker.quarantined_until = std::max(worker.quarantined_until, deps_.time.now() + quarantine);
     release(task);
     if (task.step->spec->gang)
-        for (task_work& member : task.step->tasks)
-            if (member.where != nullptr)
+        for (task_state& member : task.step->tasks)
+            if (member.assigned_worker != nullptr)
                 request_stop(member);
 }
 
-void cell_coordinator::bind(task_work& task, worker_work& worker) {
+void cell_coordinator::assign(task_state& task, worker_state& worker) {
     const step_spec& spec = *task.step->spec;
-    task.where = &worker;
+    task.assigned_worker = &worker;
     worker.tasks.push_back(&task);
-    ++task.step->placed;
-    resources taken = spec.size;
+    ++task.step->assigned;
+    resources requested = spec.size;
     if (spec.filling) {
-        worker.filling_cpu += spec.size.cpu_millis;
-        taken.cpu_millis = 0;
+        worker.best_effort_cpu += spec.size.cpu_millis;
+        requested.cpu_millis = 0;
     }
-    worker.taken += taken;
-    worker.lasting_cpu += spec.lasting ? taken.cpu_millis : 0;
-    list_images(worker);
-    offer(worker);
+    worker.allocated += requested;
+    worker.service_cpu += spec.lasting ? requested.cpu_millis : 0;
+    update_images(worker);
+    update_index(worker);
 }
 
-void cell_coordinator::release(task_work& task) {
+void cell_coordinator::release(task_state& task) {
     const step_spec& spec = *task.step->spec;
-    worker_work& worker = *task.where;
+    worker_state& worker = *task.assigned_worker;
     std::erase(worker.tasks, &task);
-    task.where = nullptr;
-    task.down_since = with_.time.now();
-    --task.step->placed;
-    resources taken = spec.size;
+    task.assigned_worker = nullptr;
+    task.down_since = deps_.time.now();
+    --task.step->assigned;
+    resources requested = spec.size;
     if (spec.filling) {
-        worker.filling_cpu -= spec.size.cpu_millis;
-        taken.cpu_millis = 0;
+        worker.best_effort_cpu -= spec.size.cpu_millis;
+        requested.cpu_millis = 0;
     }
-    worker.taken -= taken;
-    worker.lasting_cpu -= spec.lasting ? taken.cpu_millis : 0;
-    list_images(worker);
-    offer(worker);
+    worker.allocated -= requested;
+    worker.service_cpu -= spec.lasting ? requested.cpu_millis : 0;
+    update_images(worker);
+    update_index(worker);
     if (!task.run.checkpoint.empty() && !task.progress.done)
         task.progress.checkpoint = task.run.checkpoint;
     placement_due_ = true;
 }
 
-void cell_coordinator::take_end(worker_work& worker, const ended_row& row) {
+void cell_coordinator::apply_ended_run(worker_state& worker, const ended_row& row) {
     const auto name = parse_task_name(row.task);
-    task_work* const task = name ? find_task(*name) : nullptr;
+    task_state* const task = name ? find_task(*name) : nullptr;
     if (row.how != run_end::done)
         log_event(log_level::info, "run_ended",
                   {{"task", row.task},
@@ -209,7 +215,7 @@
                    {"how", std::string(end_name(row.how))}});
     if (task == nullptr)
         return;
-    const bool bound_here = task->where == &worker && task->run.number == row.run;
+    const bool bound_here = task->assigned_worker == &worker && task->run.number == row.run;
     if (bound_here) {
         if (!row.checkpoint.empty())
             task->run.checkpoint = row.checkpoint;
@@ -217,30 +223,30 @@
         mark_dirty(*task->job);
     }
     if (row.how == run_end::done) {
-        worker.failures_in_row = 0;
+        worker.consecutive_failures = 0;
         if (bound_here)
-            note_whole_time(*task);
+            record_run_time(*task);
         if (!task->step->spec->lasting)
-            take_good_end(*task);
+            apply_success(*task);
     }
     if (row.how == run_end::failed)
-        take_failure(*task, worker, row.run);
+        apply_failure(*task, worker, row.run);
 }
 
-void cell_coordinator::take_good_end(task_work& task) {
-    if (task.where != nullptr)
+void cell_coordinator::apply_success(task_state& task) {
+    if (task.assigned_worker != nullptr)
         request_stop(task);
     if (!task.step->spec->gang)
         return end_task(task);
     // If one member of a gang succeeds, the whole gang has.
-    for (task_work& member : task.step->tasks)
+    for (task_state& member : task.step->tasks)
         end_task(member);
 }
 
-void cell_coordinator::take_failure(task_work& task, worker_work& worker, run_number run) {
-    note_failure_of(worker, task.job->id);
+void cell_coordinator::apply_failure(task_state& task, worker_state& worker, run_number run) {
+    count_worker_failure(worker, task.job->id);
     // A gang fails as a whole: its failures are counted with its first member.
-    task_work& counted = task.step->spec->gang ? task.step->tasks.front() : task;
+    task_state& counted = task.step->spec->gang ? task.step->tasks.front() : task;
     std::vector<run_number>& failed = counted.progress.failed_runs;
     if (std::ranges::count(failed, run) > 0 || task.progress.done)
         return;
@@ -250,20 +256,20 @@
     if (task.step->spec->lasting)
         return;
     failed.push_back(run);
-    task.not_before = with_.time.now() + pause_per_failure * static_cast<int>(failed.size());
+    task.not_before = deps_.time.now() + backoff_per_failure * static_cast<int>(failed.size());
     if (failed.size() >= task.job->attempts && task.job->phase == job_phase::open)
         end_job(*task.job, job_phase::failed);
 }
 
-void cell_coordinator::note_failure_of(worker_work& worker, const job_id& job) {
+void cell_coordinator::count_worker_failure(worker_state& worker, const job_id& job) {
     if (worker.last_failed_job != job)
-        ++worker.failures_in_row;
+        ++worker.consecutive_failures;
     worker.last_failed_job = job;
-    if (worker.failures_in_row < failures_to_rest)
+    if (worker.consecutive_failures < failures_to_quarantine)
         return;
     // After the quarantine one more failure on the worker is enough for the next quarantine.
-    worker.failures_in_row = failures_to_rest - 1;
-    worker.rest_until = with_.time.now() + rest_after_failures;
+    worker.consecutive_failures = failures_to_quarantine - 1;
+    worker.quarantined_until = deps_.time.now() + quarantine_after_failures;
     log_event(log_level::warn, "worker_rests", {{"worker", worker.listing.id.str()}});
 }
 
--- a/src/cell/coordinator_sharing.cpp
+++ b/src/cell/coordinator_sharing.cpp
@@ -8,27 +8,27 @@
 
 // Maximum CPU utilisation at which slowdowns are learned: above it, tail latencies show the lack of
 // CPU rather than the interference between two images.
-constexpr double learn_below = 0.95;
+constexpr double max_learning_utilisation = 0.95;
 
 /// Returns whether the run uses CPU. A run that is being stopped works until its end, if it ever
 /// started.
-bool is_at_work(const worker_work& worker, const task_run& run) {
-    if (run.now == task_run::phase::stopping)
-        return run.shown_in == worker.reports;
-    return run.now == task_run::phase::running;
+bool uses_cpu(const worker_state& worker, const task_run& run) {
+    if (run.current_phase == task_run::phase::stopping)
+        return run.shown_in_report == worker.report_count;
+    return run.current_phase == task_run::phase::running;
 }
 
 } // namespace
 
 /// Logs, for analysis of CPU sharing, what each task on a worker requested, used and suffered.
-void cell_coordinator::log_sharing(const worker_work& worker) {
+void cell_coordinator::log_sharing(const worker_state& worker) {
     std::string tasks;
-    for (const task_work* const task : worker.tasks) {
+    for (const task_state* const task : worker.tasks) {
         const step_spec& spec = *task->step->spec;
         const char* const kind = spec.lasting ? "lasting" : spec.filling ? "filling" : "batch";
         absl::StrAppend(&tasks, kind, ":", spec.image, ":", spec.size.cpu_millis, ":",
                         task->run.recent, ":", spec.tail_target.count() / 1000, ":",
-                        task->run.percent, ":", task->run.pace_set, " ");
+                        task->run.percent, ":", task->run.throttle_in_force, " ");
     }
     log_event(log_level::debug, "sharing",
               {{"worker", worker.listing.id.str()},
@@ -36,14 +36,14 @@
                {"tasks", tasks}});
 }
 
-void cell_coordinator::share_processors(worker_work& worker) {
+void cell_coordinator::update_throttles(worker_state& worker) {
     const auto cores = static_cast<double>(worker.listing.capacity.cpu_millis);
     std::vector<serving_view> serving;
     std::vector<filling_view> filling;
-    std::vector<task_work*> filling_tasks;
-    for (task_work* const task : worker.tasks) {
+    std::vector<task_state*> filling_tasks;
+    for (task_state* const task : worker.tasks) {
         const step_spec& spec = *task->step->spec;
-        if (!is_at_work(worker, task->run))
+        if (!uses_cpu(worker, task->run))
             continue;
         if (spec.filling) {
             filling.push_back(
@@ -59,19 +59,19 @@
     if (current_log_level() == log_level::debug)
         log_sharing(worker);
     learn_slowdowns(worker, serving);
-    worker.sharing.decide(slowdowns_, serving, filling, with_.time.now());
+    worker.sharing.decide(slowdowns_, serving, filling, deps_.time.now());
     for (std::size_t index = 0; index < filling.size(); ++index) {
-        filling_tasks[index]->run.pace_wanted = filling[index].percent;
-        send_pace(*filling_tasks[index]);
+        filling_tasks[index]->run.throttle_wanted = filling[index].percent;
+        send_throttle(*filling_tasks[index]);
     }
 }
 
-void cell_coordinator::learn_slowdowns(const worker_work& worker,
+void cell_coordinator::learn_slowdowns(const worker_state& worker,
                                        const std::vector<serving_view>& serving) {
     const auto cores = static_cast<double>(worker.listing.capacity.cpu_millis);
     std::vector<image_share> beside;
-    double busy = static_cast<double>(worker.lasting_cpu) * lasting_use / cores;
-    for (const task_work* const task : worker.tasks) {
+    double busy = static_cast<double>(worker.service_cpu) * service_cpu_utilisation / cores;
+    for (const task_state* const task : worker.tasks) {
         if (task->step->spec->lasting)
             continue;
         const double share = static_cast<double>(task->run.recent) / cores;
@@ -80,10 +80,10 @@
             beside.push_back({task->step->image, share});
     }
     // If the CPU is short, tail latencies say nothing about the interference between two images.
-    if (busy > learn_below)
+    if (busy > max_learning_utilisation)
         return;
     for (const serving_view& served : serving)
-        slowdowns_.learn(served.image, served.tail_ratio, beside, *served.load, with_.time.now());
+        slowdowns_.learn(served.image, served.tail_ratio, beside, *served.load, deps_.time.now());
 }
 
 } // namespace figwinch
--- a/src/cell/coordinator_step_down.cpp
+++ b/src/cell/coordinator_step_down.cpp
@@ -8,87 +8,88 @@
 namespace {
 
 // Maximum number of task names in a step-down reply.
-constexpr std::size_t most_not_ordered = 1000;
+constexpr std::size_t max_not_ordered_names = 1000;
 
 } // namespace
 
 outstanding_orders cell_coordinator::outstanding() const {
     outstanding_orders left;
-    const instant now = with_.time.now();
+    const instant now = deps_.time.now();
     for (const auto& [id, worker] : workers_)
-        if (worker->heard || !worker->tasks.empty())
-            left.held.push_back({id, time_left(*worker)});
+        if (worker->reported_this_term || !worker->tasks.empty())
+            left.unresolved_workers.push_back({id, time_left(*worker)});
     for (const auto& [id, until] : unresolved_)
-        left.held.push_back({id, std::max(duration::zero(), until - now)});
-    for (const job_work* const job : order_)
+        left.unresolved_workers.push_back({id, std::max(duration::zero(), until - now)});
+    for (const job_state* const job : open_jobs_)
         list_not_ordered(*job, left.not_ordered);
     return left;
 }
 
 /// Returns the time until the worker's lease and all start orders that no report has shown have
 /// expired by the slowest clock; nothing if that is unknown.
-std::optional<duration> cell_coordinator::time_left(const worker_work& worker) const {
-    const auto clock_ms = worker.clock.at_least(with_.time.now());
+std::optional<duration> cell_coordinator::time_left(const worker_state& worker) const {
+    const auto clock_ms = worker.clock.at_least(deps_.time.now());
     if (!clock_ms)
         return std::nullopt;
-    std::int64_t until_ms = worker.latest_until_ms;
-    for (const task_work* const task : worker.tasks) {
+    std::int64_t until_ms = worker.latest_lease_expiry_ms;
+    for (const task_state* const task : worker.tasks) {
         // The start order's expiry is on the clock of an earlier incarnation.
-        if (task->run.start_until_ms == std::numeric_limits<std::int64_t>::max())
+        if (task->run.start_expires_ms == std::numeric_limits<std::int64_t>::max())
             return std::nullopt;
-        until_ms = std::max(until_ms, task->run.may_live_until_ms);
+        until_ms = std::max(until_ms, task->run.may_run_until_ms);
     }
     const std::chrono::milliseconds left(std::max<std::int64_t>(0, until_ms - *clock_ms));
-    return std::chrono::duration_cast<duration>(left / slowest_clock) + lapse_slack;
+    return std::chrono::duration_cast<duration>(left / min_clock_rate) + lease_expiry_slack;
 }
 
-void cell_coordinator::list_not_ordered(const job_work& job,
+void cell_coordinator::list_not_ordered(const job_state& job,
                                         std::vector<std::string>& names) const {
     for (const auto& [number, occurrence] : job.occurrences) {
-        for (const step_work& step : occurrence->steps) {
-            if (!has_own_record(*step.spec))
+        for (const step_state& step : occurrence->steps) {
+            if (!has_record_per_task(*step.spec))
                 continue;
-            for (const task_work& task : step.tasks)
-                if (names.size() < most_not_ordered && is_surely_not_ordered(task))
+            for (const task_state& task : step.tasks)
+                if (names.size() < max_not_ordered_names && is_known_not_ordered(task))
                     names.push_back(to_string(name_of(task)));
         }
     }
 }
 
 /// Returns whether the log may name a worker for the task although no run of it can be there.
-bool cell_coordinator::is_surely_not_ordered(const task_work& task) const {
-    const bool ordered = task.where != nullptr && !task.run.name.empty();
+bool cell_coordinator::is_known_not_ordered(const task_state& task) const {
+    const bool ordered = task.assigned_worker != nullptr && !task.run.name.empty();
     return !ordered && !task.progress.ordered_to.empty() && may_start(task);
 }
 
 /// Applies the predecessor's own account of its orders, which gives tighter bounds than the log.
 /// Times on the clock of one worker incarnation do not bound a start that reached another.
-void cell_coordinator::take_outstanding(const outstanding_orders& orders) {
-    const instant now = with_.time.now();
+void cell_coordinator::apply_outstanding(const outstanding_orders& orders) {
+    const instant now = deps_.time.now();
     absl::flat_hash_map<worker_id, std::optional<duration>> left;
-    for (const held_worker& held : orders.held) {
-        const auto [known, added] = left.try_emplace(held.id, held.left);
+    for (const unresolved_worker& held : orders.unresolved_workers) {
+        const auto [known, added] = left.try_emplace(held.id, held.expires_in);
         if (!added)
-            known->second = held.left && known->second
-                                ? std::optional(std::max(*held.left, *known->second))
+            known->second = held.expires_in && known->second
+                                ? std::optional(std::max(*held.expires_in, *known->second))
                                 : std::nullopt;
     }
     for (auto& [id, until] : unresolved_) {
         const auto held = left.find(id);
-        const worker_work* const worker = find_worker(id);
-        const bool reborn = worker != nullptr && is_other_life(id, worker->listing.born_ms);
-        if (held != left.end() && held->second && !reborn)
+        const worker_state* const worker = find_worker(id);
+        const bool is_new_incarnation =
+            worker != nullptr && is_other_incarnation(id, worker->listing.born_ms);
+        if (held != left.end() && held->second && !is_new_incarnation)
             until = std::min(until, now + *held->second);
     }
     for (const std::string& name : orders.not_ordered) {
         const auto parsed = parse_task_name(name);
-        if (task_work* const task = parsed ? find_task(*parsed) : nullptr)
-            task->not_ordered = has_own_record(*task->step->spec);
+        if (task_state* const task = parsed ? find_task(*parsed) : nullptr)
+            task->not_ordered = has_record_per_task(*task->step->spec);
     }
     placement_due_ = true;
     log_event(log_level::info, "predecessor_ended",
               {{"epoch", static_cast<std::int64_t>(epoch_.value())},
-               {"workers", static_cast<std::int64_t>(orders.held.size())},
+               {"workers", static_cast<std::int64_t>(orders.unresolved_workers.size())},
                {"tasks_not_ordered", static_cast<std::int64_t>(orders.not_ordered.size())}});
 }
 
--- a/src/cell/coordinator_stops.cpp
+++ b/src/cell/coordinator_stops.cpp
@@ -9,74 +9,75 @@
 constexpr duration stop_retry = std::chrono::milliseconds(300);
 // An acknowledged stop shows in the worker's reports within the worker's stop timeout; it is sent
 // again after this time.
-constexpr duration stop_again = std::chrono::milliseconds(1500);
+constexpr duration acknowledged_stop_retry = std::chrono::milliseconds(1500);
 // A throttle order without an answer may take effect up to this long after it was sent.
-constexpr duration latest_pace = std::chrono::seconds(12);
+constexpr duration max_throttle_delay = std::chrono::seconds(12);
 // Interval at which the throttle is sent again while an unanswered order may take effect. If one
 // more answer is lost, the throttle is in force within half of the time for which a
 // latency-critical task may exceed its target.
-constexpr duration pace_again = std::chrono::seconds(1);
+constexpr duration throttle_retry = std::chrono::seconds(1);
 
 } // namespace
 
-void cell_coordinator::request_stop(task_work& task) {
-    if (task.run.now == task_run::phase::stopping)
+void cell_coordinator::request_stop(task_state& task) {
+    if (task.run.current_phase == task_run::phase::stopping)
         return;
-    task.run.now = task_run::phase::stopping;
-    task.run.settled_at.reset();
-    task.run.next_stop = with_.time.now();
-    stopping_.push_back(name_of(task));
+    task.run.current_phase = task_run::phase::stopping;
+    task.run.no_order_since.reset();
+    task.run.next_stop = deps_.time.now();
+    tasks_to_stop_.push_back(name_of(task));
 }
 
 void cell_coordinator::send_stops() {
-    const instant now = with_.time.now();
-    std::vector<task_name> keep;
-    for (const task_name& name : std::exchange(stopping_, {})) {
-        task_work* const task = find_task(name);
-        if (task == nullptr || task->where == nullptr || task->run.now != task_run::phase::stopping)
+    const instant now = deps_.time.now();
+    std::vector<task_name> remaining;
+    for (const task_name& name : std::exchange(tasks_to_stop_, {})) {
+        task_state* const task = find_task(name);
+        if (task == nullptr || task->assigned_worker == nullptr ||
+            task->run.current_phase != task_run::phase::stopping)
             continue;
-        keep.push_back(name);
+        remaining.push_back(name);
         if (task->run.stop_in_flight || now < task->run.next_stop)
             continue;
         task->run.stop_in_flight = true;
         ++counts_.stops;
-        with_.orders.stop(task->where->listing, to_string(name), task->run.number, epoch_,
+        deps_.orders.stop(task->assigned_worker->listing, to_string(name), task->run.number, epoch_,
                           [this, weak = std::weak_ptr(alive_), name,
                            run = task->run.number](const order_answer& answer) {
-                              if (!weak.expired() && !deposed_)
-                                  take_stop_answer(name, run, answer);
+                              if (!weak.expired() && !superseded_)
+                                  handle_stop_answer(name, run, answer);
                           });
     }
-    stopping_.insert(stopping_.end(), keep.begin(), keep.end());
+    tasks_to_stop_.insert(tasks_to_stop_.end(), remaining.begin(), remaining.end());
 }
 
-void cell_coordinator::take_stop_answer(const task_name& name, run_number run,
-                                        const order_answer& answer) {
+void cell_coordinator::handle_stop_answer(const task_name& name, run_number run,
+                                          const order_answer& answer) {
     if (answer.outcome == order_outcome::superseded)
-        return be_deposed();
-    task_work* const task = find_task(name);
-    if (task == nullptr || task->where == nullptr || task->run.number != run)
+        return handle_superseded();
+    task_state* const task = find_task(name);
+    if (task == nullptr || task->assigned_worker == nullptr || task->run.number != run)
         return;
-    const instant now = with_.time.now();
+    const instant now = deps_.time.now();
     task->run.stop_in_flight = false;
     if (answer.outcome != order_outcome::done) {
         task->run.next_stop = now + stop_retry;
         return;
     }
-    if (!task->run.settled_at)
-        task->run.settled_at = now;
-    task->run.next_stop = now + stop_again;
+    if (!task->run.no_order_since)
+        task->run.no_order_since = now;
+    task->run.next_stop = now + acknowledged_stop_retry;
 }
 
-void cell_coordinator::stop_stray(const worker_work& worker, const std::string& task,
-                                  run_number run) {
+void cell_coordinator::stop_orphaned_run(const worker_state& worker, const std::string& task,
+                                         run_number run) {
     ++counts_.stops;
     log_event(log_level::info, "stray_run_stopped",
               {{"task", task}, {"worker", worker.listing.id.str()}});
-    with_.orders.stop(worker.listing, task, run, epoch_,
+    deps_.orders.stop(worker.listing, task, run, epoch_,
                       [this, weak = std::weak_ptr(alive_)](const order_answer& answer) {
                           if (!weak.expired() && answer.outcome == order_outcome::superseded)
-                              be_deposed();
+                              handle_superseded();
                       });
 }
 
@@ -85,48 +86,49 @@
 /// slower than wanted, or faster, which shows as a latency-critical task that stays above its
 /// target. The order is repeated until one is answered that was sent after the last unanswered one
 /// can have taken effect.
-void cell_coordinator::send_pace(task_work& task) {
+void cell_coordinator::send_throttle(task_state& task) {
     task_run& run = task.run;
-    const instant now = with_.time.now();
-    const bool again = run.pace_doubted_until && now - run.pace_sent_at >= pace_again;
-    if (run.now == task_run::phase::starting || run.pace_in_flight ||
-        (run.pace_wanted == run.pace_set && !again))
+    const instant now = deps_.time.now();
+    const bool retry_due =
+        run.throttle_uncertain_until && now - run.throttle_sent_at >= throttle_retry;
+    if (run.current_phase == task_run::phase::starting || run.throttle_in_flight ||
+        (run.throttle_wanted == run.throttle_in_force && !retry_due))
         return;
-    run.pace_in_flight = true;
-    run.pace_sent_at = now;
-    ++counts_.paces;
+    run.throttle_in_flight = true;
+    run.throttle_sent_at = now;
+    ++counts_.throttle_orders;
     const task_name name = name_of(task);
-    const pace_order order{to_string(name), run.number, run.pace_wanted, epoch_};
-    with_.orders.pace(task.where->listing, order,
+    const pace_order order{to_string(name), run.number, run.throttle_wanted, epoch_};
+    deps_.orders.pace(task.assigned_worker->listing, order,
                       [this, weak = std::weak_ptr(alive_), name, number = run.number,
-                       percent = run.pace_wanted](const order_answer& answer) {
-                          if (!weak.expired() && !deposed_)
-                              take_pace_answer(name, number, percent, answer);
+                       percent = run.throttle_wanted](const order_answer& answer) {
+                          if (!weak.expired() && !superseded_)
+                              handle_throttle_answer(name, number, percent, answer);
                       });
 }
 
-void cell_coordinator::take_pace_answer(const task_name& name, run_number number, int percent,
-                                        const order_answer& answer) {
+void cell_coordinator::handle_throttle_answer(const task_name& name, run_number number, int percent,
+                                              const order_answer& answer) {
     if (answer.outcome == order_outcome::superseded)
-        return be_deposed();
-    task_work* const task = find_task(name);
-    if (task == nullptr || task->where == nullptr || task->run.number != number)
+        return handle_superseded();
+    task_state* const task = find_task(name);
+    if (task == nullptr || task->assigned_worker == nullptr || task->run.number != number)
         return;
     task_run& run = task->run;
-    run.pace_in_flight = false;
+    run.throttle_in_flight = false;
     if (answer.outcome == order_outcome::unknown) {
         log_event(log_level::warn, "pace_unanswered",
                   {{"task", to_string(name)},
-                   {"worker", task->where->listing.id.str()},
+                   {"worker", task->assigned_worker->listing.id.str()},
                    {"percent", std::int64_t{percent}}});
-        run.pace_set = task_run::pace_unknown;
-        run.pace_doubted_until = run.pace_sent_at + latest_pace;
+        run.throttle_in_force = task_run::throttle_unknown;
+        run.throttle_uncertain_until = run.throttle_sent_at + max_throttle_delay;
     }
     if (answer.outcome != order_outcome::done)
         return;
-    if (run.pace_doubted_until && run.pace_sent_at >= *run.pace_doubted_until)
-        run.pace_doubted_until.reset();
-    run.pace_set = percent;
+    if (run.throttle_uncertain_until && run.throttle_sent_at >= *run.throttle_uncertain_until)
+        run.throttle_uncertain_until.reset();
+    run.throttle_in_force = percent;
 }
 
 } // namespace figwinch
--- a/src/cell/coordinator_stragglers.cpp
+++ b/src/cell/coordinator_stragglers.cpp
@@ -8,19 +8,19 @@
 
 // Quarantine of a worker on which a run made no progress or lagged. Such problems usually last some
 // seconds, and a run that is placed there meanwhile has to be moved again.
-constexpr duration rest_after_straggler = std::chrono::seconds(3);
+constexpr duration quarantine_after_straggler = std::chrono::seconds(3);
 // No worker is put in quarantine for a straggler once one in this many workers is in quarantine: if
 // more look slow, the measurement is off.
-constexpr std::size_t most_resting_share = 4;
+constexpr std::size_t workers_per_quarantine = 4;
 // A task that lags on every worker is left alone after this many moves.
-constexpr std::uint32_t most_moves = 3;
-constexpr std::size_t most_samples = 64;
-constexpr int full_pace = 100;
+constexpr std::uint32_t max_moves = 3;
+constexpr std::size_t max_samples = 64;
+constexpr int full_speed = 100;
 // Assumed throttle, in percent, of a run whose throttle is unknown: it was adopted from another
 // coordinator, or its throttle order got no answer.
-constexpr int unknown_pace = 50;
+constexpr int assumed_throttle = 50;
 
-run_progress progress_of(const task_work& task) {
+run_progress progress_of(const task_state& task) {
     const task_run& run = task.run;
     return {run.worked, run.worked - run.worked_at_change, run.percent, task.step->spec->estimate};
 }
@@ -29,67 +29,68 @@
 
 /// Updates a run's progress and working time from a report. A throttled run works less than the
 /// time that passes.
-void cell_coordinator::note_progress(task_run& run, int percent) const {
-    const instant now = with_.time.now();
-    const int pace = run.pace_set < 0 ? unknown_pace : run.pace_set;
-    run.worked += (now - run.seen_at) * pace / full_pace;
+void cell_coordinator::update_progress(task_run& run, int percent) const {
+    const instant now = deps_.time.now();
+    const int pace = run.throttle_in_force < 0 ? assumed_throttle : run.throttle_in_force;
+    run.worked += (now - run.seen_at) * pace / full_speed;
     run.seen_at = now;
     if (percent != run.percent)
         run.worked_at_change = run.worked;
     run.percent = percent;
 }
 
-void cell_coordinator::note_whole_time(task_work& task) {
-    std::vector<duration>& times = task.step->whole_times;
-    if (times.size() < most_samples)
-        times.push_back(task.run.worked + (with_.time.now() - task.run.seen_at));
+void cell_coordinator::record_run_time(task_state& task) {
+    std::vector<duration>& times = task.step->run_times;
+    if (times.size() < max_samples)
+        times.push_back(task.run.worked + (deps_.time.now() - task.run.seen_at));
 }
 
 /// Moves runs that make no progress, or lag so far behind others of their step that a new run
 /// elsewhere would finish sooner.
 void cell_coordinator::move_stragglers() {
-    for (job_work* const job : order_)
+    for (job_state* const job : open_jobs_)
         for (const auto& [number, occurrence] : job->occurrences)
-            for (step_work& step : occurrence->steps)
+            for (step_state& step : occurrence->steps)
                 // Members of a gang progress together; service tasks have no end to be late for.
-                if (step.placed > 0 && !step.spec->lasting && !step.spec->gang)
+                if (step.assigned > 0 && !step.spec->lasting && !step.spec->gang)
                     move_stragglers_of(step);
 }
 
-void cell_coordinator::move_stragglers_of(step_work& step) {
+void cell_coordinator::move_stragglers_of(step_state& step) {
     std::vector<run_progress> running;
-    for (const task_work& task : step.tasks)
-        if (task.where != nullptr && task.run.now == task_run::phase::running)
+    for (const task_state& task : step.tasks)
+        if (task.assigned_worker != nullptr && task.run.current_phase == task_run::phase::running)
             running.push_back(progress_of(task));
-    const std::optional<duration> usual = usual_time(step.whole_times, running);
-    for (task_work& task : step.tasks) {
-        if (task.where == nullptr || task.run.now != task_run::phase::running ||
-            task.moves >= most_moves)
+    const std::optional<duration> usual = usual_time(step.run_times, running);
+    for (task_state& task : step.tasks) {
+        if (task.assigned_worker == nullptr || task.run.current_phase != task_run::phase::running ||
+            task.moves >= max_moves)
             continue;
         const run_progress run = progress_of(task);
-        const bool still = stands_still(run);
-        if (still || (usual && is_straggler(run, *usual, step.spec->checkpoints)))
-            move_straggler(task, still);
+        const bool stuck = stands_still(run);
+        if (stuck || (usual && is_straggler(run, *usual, step.spec->checkpoints)))
+            move_straggler(task, stuck);
     }
 }
 
-void cell_coordinator::move_straggler(task_work& task, bool still) {
-    worker_work& worker = *task.where;
-    const instant now = with_.time.now();
+void cell_coordinator::move_straggler(task_state& task, bool stuck) {
+    worker_state& worker = *task.assigned_worker;
+    const instant now = deps_.time.now();
     log_event(log_level::warn, "straggler_moved",
               {{"task", to_string(name_of(task))},
                {"worker", worker.listing.id.str()},
                {"percent", std::int64_t{task.run.percent}},
                {"worked_ms", static_cast<std::int64_t>(task.run.worked.count() / 1000)},
-               {"stands_still", still}});
+               {"stands_still", stuck}});
     ++counts_.stragglers;
     ++task.moves;
     std::rotate(task.failed_on.begin(), task.failed_on.end() - 1, task.failed_on.end());
     task.failed_on.front() = worker.listing.id;
-    const auto resting = static_cast<std::size_t>(std::ranges::count_if(
-        workers_, [now](const auto& entry) { return entry.second->rest_until > now; }));
-    if (resting * most_resting_share < workers_.size())
-        worker.rest_until = std::max(worker.rest_until, now + rest_after_straggler);
+    const auto in_quarantine = static_cast<std::size_t>(std::ranges::count_if(
+        workers_, [now](const auto& entry) { return entry.second->quarantined_until > now; }));
+    if (in_quarantine * workers_per_quarantine < workers_.size())
+        worker.quarantined_until =
+            std::max(worker.quarantined_until, now + quarantine_after_straggler);
     request_stop(task);
 }
 
--- a/src/cell/coordinator_view.cpp
+++ b/src/cell/coordinator_view.cpp
@@ -10,21 +10,21 @@
 namespace {
 
 // Maximum number of jobs in a view, which is for status pages: a few screens.
-constexpr std::size_t most_jobs_shown = 200;
+constexpr std::size_t max_jobs_shown = 200;
 
 // Service tasks without a run for longer than this are logged, in one line per period.
-constexpr duration lasting_wait_told = std::chrono::seconds(2);
-constexpr duration lasting_waits_period = std::chrono::seconds(1);
+constexpr duration min_logged_wait = std::chrono::seconds(2);
+constexpr duration waiting_log_period = std::chrono::seconds(1);
 
 } // namespace
 
-std::string_view to_string(worker_standing standing) {
+std::string_view to_string(worker_status status) {
     static constexpr std::array names = {"usable",    "unlisted", "leaving", "data_centre_out",
                                          "not_heard", "silent",   "resting"};
-    return names[static_cast<std::size_t>(standing)];
+    return names[static_cast<std::size_t>(status)];
 }
 
-std::string_view to_string(job_wait wait) {
+std::string_view to_string(wait_reason wait) {
     static constexpr std::array names = {
         "none",      "earlier_steps", "earlier_reign", "pause_after_failure",
         "no_worker", "no_label",      "no_room",       "advice"};
@@ -33,49 +33,50 @@
 
 coordinator_view cell_coordinator::view() const {
     coordinator_view shown;
-    const instant now = with_.time.now();
+    const instant now = deps_.time.now();
     for (const auto& [id, worker] : workers_)
-        shown.workers.push_back({id, worker->listing.data_centre, standing_of(*worker),
-                                 worker->tasks.size(), worker->listing.capacity - worker->taken});
-    for (const job_work* const job : order_) {
-        if (shown.jobs.size() == most_jobs_shown) {
-            shown.jobs_left_out = order_.size() - most_jobs_shown;
+        shown.workers.push_back({id, worker->listing.data_centre, status_of(*worker),
+                                 worker->tasks.size(),
+                                 worker->listing.capacity - worker->allocated});
+    for (const job_state* const job : open_jobs_) {
+        if (shown.jobs.size() == max_jobs_shown) {
+            shown.jobs_left_out = open_jobs_.size() - max_jobs_shown;
             break;
         }
         job_view& row = shown.jobs.emplace_back();
         row.id = job->id;
         row.queue = job->spec->queue;
         row.priority = job->priority;
-        row.known_for = now - job->came_at;
+        row.age = now - job->submitted_at;
         count_tasks(*job, row);
-        row.waits_for = row.waiting == 0 ? job_wait::none : wait_of(*job);
+        row.waits_for = row.waiting == 0 ? wait_reason::none : wait_reason_of(*job);
     }
     return shown;
 }
 
-void cell_coordinator::count_tasks(const job_work& job, job_view& row) {
+void cell_coordinator::count_tasks(const job_state& job, job_view& row) {
     for (const auto& [number, occurrence] : job.occurrences) {
-        for (const step_work& step : occurrence->steps) {
-            for (const task_work& task : step.tasks) {
-                row.running += task.where != nullptr ? 1 : 0;
-                row.waiting += task.where == nullptr && !task.progress.done ? 1 : 0;
+        for (const step_state& step : occurrence->steps) {
+            for (const task_state& task : step.tasks) {
+                row.running += task.assigned_worker != nullptr ? 1 : 0;
+                row.waiting += task.assigned_worker == nullptr && !task.progress.done ? 1 : 0;
             }
         }
     }
 }
 
-void cell_coordinator::log_lasting_waits() {
-    const instant now = with_.time.now();
-    if (now < next_lasting_waits_)
+void cell_coordinator::log_waiting_service_tasks() {
+    const instant now = deps_.time.now();
+    if (now < next_waiting_log_)
         return;
-    next_lasting_waits_ = now + lasting_waits_period;
-    const task_work* longest = nullptr;
+    next_waiting_log_ = now + waiting_log_period;
+    const task_state* longest = nullptr;
     std::int64_t waiting = 0;
-    for (const job_work* const job : order_)
+    for (const job_state* const job : open_jobs_)
         for (const auto& [number, occurrence] : job->occurrences)
-            for (const step_work& step : occurrence->steps)
+            for (const step_state& step : occurrence->steps)
                 if (step.spec->lasting && step.ready)
-                    waiting += count_down(step, longest);
+                    waiting += count_long_waiting(step, longest);
     if (longest == nullptr)
         return;
     const duration down = now - longest->down_since;
@@ -83,16 +84,17 @@
               {{"tasks", waiting},
                {"longest", to_string(name_of(*longest))},
                {"down_ms", static_cast<std::int64_t>(down.count() / 1000)},
-               {"waits_for", std::string(to_string(wait_of(*longest->job, *longest)))}});
+               {"waits_for", std::string(to_string(wait_reason_of(*longest->job, *longest)))}});
 }
 
 /// Counts the step's tasks that have had no run for long enough to be logged. Sets `longest` to the
 /// one that has waited longest, if it has waited longer than the previous value.
-std::int64_t cell_coordinator::count_down(const step_work& step, const task_work*& longest) const {
-    const instant now = with_.time.now();
+std::int64_t cell_coordinator::count_long_waiting(const step_state& step,
+                                                  const task_state*& longest) const {
+    const instant now = deps_.time.now();
     std::int64_t waiting = 0;
-    for (const task_work& task : step.tasks) {
-        if (task.where != nullptr || now - task.down_since < lasting_wait_told)
+    for (const task_state& task : step.tasks) {
+        if (task.assigned_worker != nullptr || now - task.down_since < min_logged_wait)
             continue;
         ++waiting;
         if (longest == nullptr || task.down_since < longest->down_since)
@@ -101,49 +103,49 @@
     return waiting;
 }
 
-/// Checks the conditions of `usable` one by one to tell which fails.
-worker_standing cell_coordinator::standing_of(const worker_work& worker) const {
-    const instant now = with_.time.now();
+/// Checks the conditions of `is_usable` one by one to tell which fails.
+worker_status cell_coordinator::status_of(const worker_state& worker) const {
+    const instant now = deps_.time.now();
     if (!worker.listed)
-        return worker_standing::unlisted;
+        return worker_status::unlisted;
     if (worker.listing.leaving)
-        return worker_standing::leaving;
+        return worker_status::leaving;
     if (evacuated_.contains(worker.listing.data_centre))
-        return worker_standing::data_centre_out;
-    if (!worker.heard)
-        return worker_standing::not_heard;
-    if (worker.silent || now - worker.reported_at >= reported_within)
-        return worker_standing::silent;
-    if (now < worker.rest_until || !worker.registered)
-        return worker_standing::resting;
-    return worker_standing::usable;
+        return worker_status::data_centre_out;
+    if (!worker.reported_this_term)
+        return worker_status::not_heard;
+    if (worker.unresponsive || now - worker.reported_at >= max_report_age)
+        return worker_status::silent;
+    if (now < worker.quarantined_until || !worker.registered)
+        return worker_status::resting;
+    return worker_status::usable;
 }
 
-job_wait cell_coordinator::wait_of(const job_work& job) const {
+wait_reason cell_coordinator::wait_reason_of(const job_state& job) const {
     for (const auto& [number, occurrence] : job.occurrences)
-        for (const step_work& step : occurrence->steps)
-            for (const task_work& task : step.tasks)
-                if (step.ready && task.where == nullptr && !task.progress.done)
-                    return wait_of(job, task);
-    return job_wait::earlier_steps;
+        for (const step_state& step : occurrence->steps)
+            for (const task_state& task : step.tasks)
+                if (step.ready && task.assigned_worker == nullptr && !task.progress.done)
+                    return wait_reason_of(job, task);
+    return wait_reason::earlier_steps;
 }
 
 /// Returns why a task of a ready step has no worker.
-job_wait cell_coordinator::wait_of(const job_work& job, const task_work& task) const {
+wait_reason cell_coordinator::wait_reason_of(const job_state& job, const task_state& task) const {
     if (!may_start(task))
-        return job_wait::earlier_reign;
-    if (with_.time.now() < task.not_before)
-        return job_wait::pause_after_failure;
+        return wait_reason::earlier_reign;
+    if (deps_.time.now() < task.not_before)
+        return wait_reason::pause_after_failure;
     const std::string& label = task.step->spec->label;
-    job_wait furthest = job_wait::no_worker;
+    wait_reason furthest = wait_reason::no_worker;
     for (const auto& [id, worker] : workers_) {
-        if (!usable(*worker, job))
+        if (!is_usable(*worker, job))
             continue;
-        job_wait here = job_wait::no_room;
+        wait_reason here = wait_reason::no_room;
         if (!label.empty() && std::ranges::count(worker->listing.labels, label) == 0)
-            here = job_wait::no_label;
+            here = wait_reason::no_label;
         else if (admits(*worker, *task.step) && !is_advised(*worker, job, *task.step))
-            here = job_wait::advice;
+            here = wait_reason::advice;
         furthest = std::max(furthest, here);
     }
     return furthest;
--- a/src/cell/job_work.h
+++ b/src/cell/job_state.h
@@ -2,7 +2,7 @@
 
 #include "cell/slowdown_model.h"
 #include "cell/step_advice.h"
-#include "cell/task_work.h"
+#include "cell/task_state.h"
 #include "figwinch/cell/job_spec.h"
 #include "figwinch/cell/worker_marks.h"
 
@@ -12,31 +12,31 @@
 
 namespace figwinch {
 
-struct occurrence_work;
+struct occurrence_state;
 
 /// State of one step of an occurrence. Owned by its occurrence.
-struct step_work {
+struct step_state {
     const step_spec* spec = nullptr;
     image_number image = 0;
-    occurrence_work* occurrence = nullptr;
+    occurrence_state* occurrence = nullptr;
     std::uint32_t number = 0;
-    std::vector<task_work> tasks;
+    std::vector<task_state> tasks;
     /// Tasks of the step that have not succeeded yet.
-    std::uint32_t left = 0;
+    std::uint32_t unfinished = 0;
     /// Tasks of the step that are assigned to a worker.
-    std::uint32_t placed = 0;
+    std::uint32_t assigned = 0;
     /// All steps that this step depends on have succeeded.
     bool ready = false;
     step_advice advice;
     /// Run times of the first successful runs, without the time lost to throttling.
-    std::vector<duration> whole_times;
+    std::vector<duration> run_times;
 };
 
 /// One pass over the steps of a job; a recurring job has several. Owned by its job.
-struct occurrence_work {
+struct occurrence_state {
     std::uint32_t number = 0;
-    std::vector<step_work> steps;
-    std::uint32_t steps_left = 0;
+    std::vector<step_state> steps;
+    std::uint32_t unfinished_steps = 0;
 };
 
 /// Whether a job can still finish by its objective.
@@ -48,7 +48,7 @@
 };
 
 /// The coordinator's state of a job.
-struct job_work {
+struct job_state {
     job_id id;
     std::shared_ptr<const job_spec> spec;
     /// From the queue's current configuration; as accepted with the job if the queue no longer
@@ -57,7 +57,7 @@
     std::uint32_t priority = 0;
     std::uint32_t attempts = 1;
     std::optional<advice_terms> advice;
-    std::map<std::uint32_t, std::unique_ptr<occurrence_work>> occurrences;
+    std::map<std::uint32_t, std::unique_ptr<occurrence_state>> occurrences;
     /// Occurrences below `occurrences_ended` have ended; those from `occurrences_made` on are not
     /// due.
     std::uint32_t occurrences_ended = 0;
@@ -69,17 +69,17 @@
     worker_marks ordered_to;
     worker_marks recorded_to;
     /// `ordered_to` has changed since it was last written.
-    bool widened = false;
+    bool ordered_to_changed = false;
     /// The job had started, but its records name no worker: a version that did not record workers
     /// wrote them, so any worker may have its runs.
-    bool any_worker_in_doubt = false;
+    bool may_run_on_any_worker = false;
     /// The job's progress has changed since it was last written.
     bool dirty = false;
     /// Offset in the intake stream: jobs that are otherwise equal are served in the order of
     /// acceptance.
     std::uint64_t intake_offset = 0;
     /// When the job was submitted; if it does not tell, when this coordinator first read it.
-    instant came_at{};
+    instant submitted_at{};
     /// When callers want the job done, by the submitter's run time estimates.
     instant objective_at{};
     /// Latest result of `outlook_of`; the remaining work is in core-seconds.
@@ -87,7 +87,7 @@
     double work_left = 0;
     instant ended_at{};
     /// A predecessor may have started tasks of the job.
-    bool may_run_elsewhere = false;
+    bool may_have_earlier_runs = false;
 
     std::uint32_t occurrence_count() const { return spec->repeats == 0 ? 1 : spec->repeats; }
 };
--- a/src/cell/reign.cpp
+++ b/src/cell/reign.cpp
@@ -28,7 +28,7 @@
 reign::~reign() = default;
 
 bool reign::is_fresh() const {
-    return leads_ && time_.now() - confirmed_at_ < fresh_reign;
+    return leads_ && time_.now() - confirmed_at_ < max_confirmation_age;
 }
 
 void reign::tick() {
@@ -36,7 +36,7 @@
     // Beside what this host reads for itself, which may be waiting for an answer that got lost.
     if (resignation_)
         resignation_->tick();
-    if (leads_ && now - confirmed_at_ > silence_limit) {
+    if (leads_ && now - confirmed_at_ > max_unconfirmed_leadership) {
         leads_ = false;
         // Whoever else may have claimed meanwhile has moved the stream's end, so that a claim at
         // the known end can only succeed when nobody has.
--- a/src/cell/reign_records.cpp
+++ b/src/cell/reign_records.cpp
@@ -61,8 +61,8 @@
 }
 
 /// Takes in until when coordinators that were followed may have acted: the holder up to this record
-/// when it resigns or is followed, else `silence_limit` longer than its last record. A reign that
-/// came between doesn't shorten that.
+/// when it resigns or is followed, else `max_unconfirmed_leadership` longer than its last record. A
+/// reign that came between doesn't shorten that.
 void reign::note_end_of(const reign_record& record, instant written_by) {
     const bool resigned = record.what == reign_record::kind::resignation;
     if (record.what == reign_record::kind::claim && current_)
@@ -80,9 +80,10 @@
 /// record.
 void reign::count_current() {
     predecessor_ = current_;
-    acted_until_ = std::max(acted_until_, heard_at_ + (vacant_ ? duration::zero() : silence_limit));
+    acted_until_ = std::max(acted_until_,
+                            heard_at_ + (vacant_ ? duration::zero() : max_unconfirmed_leadership));
     prolonged_until_ =
-        std::max(prolonged_until_, heard_at_ + (vacant_ ? duration::zero() : prolonging_limit));
+        std::max(prolonged_until_, heard_at_ + (vacant_ ? duration::zero() : full_renewal_limit));
 }
 
 } // namespace figwinch
--- a/src/cell/step_down.cpp
+++ b/src/cell/step_down.cpp
@@ -26,12 +26,12 @@
     message.set_ended(orders.has_value());
     if (!orders)
         return message.SerializeAsString();
-    for (const held_worker& worker : orders->held) {
+    for (const unresolved_worker& worker : orders->unresolved_workers) {
         pb::HeldWorker& row = *message.add_held();
         row.set_id(worker.id.str());
-        if (worker.left)
+        if (worker.expires_in)
             row.set_left_ms(
-                static_cast<std::uint64_t>(*worker.left / std::chrono::milliseconds(1)) + 1);
+                static_cast<std::uint64_t>(*worker.expires_in / std::chrono::milliseconds(1)) + 1);
     }
     for (const std::string& task : orders->not_ordered)
         message.add_not_ordered(task);
@@ -44,10 +44,10 @@
         return std::nullopt;
     outstanding_orders orders;
     for (const pb::HeldWorker& row : message.held()) {
-        held_worker& worker = orders.held.emplace_back();
+        unresolved_worker& worker = orders.unresolved_workers.emplace_back();
         worker.id = worker_id(row.id());
         if (row.has_left_ms())
-            worker.left = std::chrono::milliseconds(row.left_ms());
+            worker.expires_in = std::chrono::milliseconds(row.left_ms());
     }
     orders.not_ordered.assign(message.not_ordered().begin(), message.not_ordered().end());
     return orders;
--- a/src/cell/task_run.h
+++ b/src/cell/task_run.h
@@ -24,18 +24,18 @@
     /// The task's name in orders and reports; empty before the start order.
     std::string name;
     /// Number of the newest report of the worker that shows the run.
-    std::uint64_t shown_in = 0;
-    phase now = phase::starting;
+    std::uint64_t shown_in_report = 0;
+    phase current_phase = phase::starting;
     instant ordered_at{};
     /// Since when no order about the run is in flight. A worker's report that was requested later
     /// and does not show the run proves that it is gone.
-    std::optional<instant> settled_at;
+    std::optional<instant> no_order_since;
     /// When an unanswered start order expires, by the worker's clock.
-    std::int64_t start_until_ms = 0;
+    std::int64_t start_expires_ms = 0;
     /// Until when the run may exist on a later incarnation of the worker, by the worker's clock:
     /// until a report shows the run, its start order may have reached one, which grants it a full
     /// lease. 0: the order cannot have reached another incarnation, or a report has shown the run.
-    std::int64_t may_live_until_ms = 0;
+    std::int64_t may_run_until_ms = 0;
     /// Newest checkpoint that the worker has reported.
     std::string checkpoint;
     int percent = 0;
@@ -50,15 +50,15 @@
     /// Of a latency-critical task: the load from its own users, and its tail latency.
     load_estimate load;
     tail_estimate tail;
-    int pace_wanted = 100;
-    static constexpr int pace_unknown = -1;
-    /// CPU throttle in force, in percent of full speed, or `pace_unknown`.
-    int pace_set = 100;
-    instant pace_sent_at{};
-    bool pace_in_flight = false;
+    int throttle_wanted = 100;
+    static constexpr int throttle_unknown = -1;
+    /// CPU throttle in force, in percent of full speed, or `throttle_unknown`.
+    int throttle_in_force = 100;
+    instant throttle_sent_at{};
+    bool throttle_in_flight = false;
     /// Until when an unanswered throttle order may take effect; nothing if there is none, or once
     /// an order that was sent later has been answered.
-    std::optional<instant> pace_doubted_until;
+    std::optional<instant> throttle_uncertain_until;
     bool stop_in_flight = false;
     instant next_stop{};
 };
--- a/src/cell/task_work.h
+++ b/src/cell/task_state.h
@@ -8,14 +8,14 @@
 
 namespace figwinch {
 
-struct job_work;
-struct worker_work;
-struct step_work;
+struct job_state;
+struct worker_state;
+struct step_state;
 
 /// The coordinator's state of a task. Owned by its step.
-struct task_work {
-    job_work* job = nullptr;
-    step_work* step = nullptr;
+struct task_state {
+    job_state* job = nullptr;
+    step_state* step = nullptr;
     std::uint32_t index = 0;
     task_progress progress;
     /// The log has the current value of `progress.ordered_to`.
@@ -23,7 +23,7 @@
     /// The predecessor reported that the task has no run anywhere.
     bool not_ordered = false;
     /// Worker that `run` is assigned to; null if no run of the task can exist.
-    worker_work* where = nullptr;
+    worker_state* assigned_worker = nullptr;
     task_run run;
     /// Backoff after a failed run: the task is not started before this time.
     instant not_before{};
--- a/src/cell/worker_clock.cpp
+++ b/src/cell/worker_clock.cpp
@@ -7,7 +7,7 @@
 
 std::int64_t elapsed_ms(instant from, instant to) {
     const auto micros = static_cast<double>((to - from).count());
-    return static_cast<std::int64_t>(micros * slowest_clock / 1000.0);
+    return static_cast<std::int64_t>(micros * min_clock_rate / 1000.0);
 }
 
 } // namespace
--- a/src/cell/worker_work.h
+++ b/src/cell/worker_state.h
@@ -11,10 +11,10 @@
 
 namespace figwinch {
 
-struct task_work;
+struct task_state;
 
 /// The coordinator's state of a worker.
-struct worker_work {
+struct worker_state {
     worker_slot slot = 0;
     worker_listing listing;
     bool listed = false;
@@ -22,56 +22,57 @@
     std::uint64_t born_ms = 0;
     worker_clock clock;
     /// Latest lease expiry that was ever ordered, by the worker's clock.
-    std::int64_t latest_until_ms = 0;
+    std::int64_t latest_lease_expiry_ms = 0;
     /// The log says that this incarnation may have tasks, so a successor will query it.
     bool registered = false;
     bool registering = false;
     /// The worker has reported under this epoch, so it rejects orders of earlier ones.
-    bool heard = false;
-    bool hold_in_flight = false;
+    bool reported_this_term = false;
+    bool renewal_in_flight = false;
     /// Consecutive lease renewals without an answer. Until one is answered, the lease is not
     /// extended.
-    int unanswered = 0;
+    int unanswered_renewals = 0;
     /// The log says that the lease is not renewed, or that record is being written.
-    bool silent = false;
-    instant next_hold{};
+    bool unresponsive = false;
+    instant next_renewal{};
     instant reported_at{};
     /// A report had a run that its number does not identify: the next one must name the tasks.
-    bool wants_names = false;
+    bool needs_task_names = false;
     /// Number of reports of the worker that were processed.
-    std::uint64_t reports = 0;
+    std::uint64_t report_count = 0;
     /// Since when the worker's lease is certain to have expired; zero: it may be valid.
-    instant over_since{};
-    /// Ended runs up to number `seen` were processed, up to `noted` recorded in the log.
-    std::uint64_t seen = 0;
-    std::uint64_t noted = 0;
+    instant lease_expired_since{};
+    /// Ended runs up to number `ends_processed` were processed, up to `ends_recorded` recorded in
+    /// the log.
+    std::uint64_t ends_processed = 0;
+    std::uint64_t ends_recorded = 0;
     /// Resources allocated to runs here; of best-effort tasks only memory and accelerators.
-    resources taken;
+    resources allocated;
     /// Resources of orphaned runs that are still here by the last report; nothing if unknown.
-    std::optional<resources> strays = resources{};
+    std::optional<resources> orphaned = resources{};
     /// Resources reserved for service tasks that have no run on any worker.
-    resources kept;
+    resources reserved;
     /// CPU that best-effort tasks here request, in thousandths of a core.
-    std::int64_t filling_cpu = 0;
-    /// CPU that service tasks here request, in thousandths of a core; part of `taken`.
-    std::int64_t lasting_cpu = 0;
-    std::vector<task_work*> tasks;
+    std::int64_t best_effort_cpu = 0;
+    /// CPU that service tasks here request, in thousandths of a core; part of `allocated`.
+    std::int64_t service_cpu = 0;
+    std::vector<task_state*> tasks;
     /// Quarantine after refusals or failures: no starts before this time.
-    instant rest_until{};
+    instant quarantined_until{};
     /// Consecutive failed runs of different jobs without a successful one between them.
-    std::uint32_t failures_in_row = 0;
+    std::uint32_t consecutive_failures = 0;
     job_id last_failed_job;
     sharing_control sharing;
     /// For placement: CPU share of each best-effort image at full speed, and number of tasks of
     /// each latency-critical image.
-    std::vector<image_share> filling_images;
-    std::map<image_number, int> serving;
+    std::vector<image_share> best_effort_images;
+    std::map<image_number, int> latency_critical_images;
     /// The worker's entry in the candidate index while it accepts starts.
     worker_offer offer;
     /// Tags of the worker's labels and rack; the first ones of `offer.tags`.
     std::vector<tag_number> label_tags;
     /// The last candidate search that visited this worker.
-    std::uint64_t met_in_search = 0;
+    std::uint64_t last_search = 0;
 };
 
 } // namespace figwinch
--- a/src/cell_host/cell_host_settings.cpp
+++ b/src/cell_host/cell_host_settings.cpp
@@ -74,13 +74,13 @@
     with.cpu_share = absl::GetFlag(FLAGS_cpu_share);
     with.link_mbps = absl::GetFlag(FLAGS_link_mbps);
     with.grace = std::chrono::seconds(absl::GetFlag(FLAGS_grace_s));
-    with.cell.max_hold = read_ms(FLAGS_max_hold_ms);
-    with.cell.stop_bound = read_ms(FLAGS_stop_ms);
-    with.cell.status_kept = std::chrono::seconds(absl::GetFlag(FLAGS_status_s));
-    with.cell.gang_wait = read_ms(FLAGS_gang_ms);
+    with.cell.max_granted_lease = read_ms(FLAGS_max_hold_ms);
+    with.cell.stop_timeout = read_ms(FLAGS_stop_ms);
+    with.cell.status_retention = std::chrono::seconds(absl::GetFlag(FLAGS_status_s));
+    with.cell.gang_start_window = read_ms(FLAGS_gang_ms);
     with.cell.leave_notice = read_ms(FLAGS_leave_ms);
     with.cell.evacuation_notice = read_ms(FLAGS_evacuate_ms);
-    with.cell.far_factor = absl::GetFlag(FLAGS_far_factor);
+    with.cell.remote_data_slowdown = absl::GetFlag(FLAGS_far_factor);
     with.level = absl::GetFlag(FLAGS_log_debug) ? log_level::debug : log_level::info;
     return with;
 }
--- a/src/cell_host/cell_member.cpp
+++ b/src/cell_host/cell_member.cpp
@@ -121,7 +121,7 @@
         log_event(log_level::info, "data_centre_changed",
                   {{"data_centre", data_centre->str()}, {"taken_out", record.value.has_value()}});
         if (coordinator_)
-            coordinator_->take_evacuated(evacuated_);
+            coordinator_->update_evacuated(evacuated_);
         return;
     }
     if (!platform_.is_config_key(record.key) || !record.value)
@@ -139,12 +139,12 @@
               {{"version", static_cast<std::int64_t>(config_->version.value())},
                {"queues", static_cast<std::int64_t>(config_->queues.size())}});
     if (coordinator_)
-        coordinator_->take_config(*config_);
+        coordinator_->apply_config(*config_);
 }
 
 void cell_member::pass_listing() {
     if (listing_.take_changed())
-        coordinator_->take_listing(listing_.rows());
+        coordinator_->update_workers(listing_.rows());
 }
 
 void cell_member::forget_job(const job_id& id, const std::function<void()>& done) {
--- a/src/cell_host/cell_member_reign.cpp
+++ b/src/cell_host/cell_member_reign.cpp
@@ -46,7 +46,7 @@
     if (predecessor_)
         predecessor_->tick();
     pass_listing();
-    // New jobs wait while the log doesn't confirm the reign (see `fresh_reign`).
+    // New jobs wait while the log doesn't confirm the reign (see `max_confirmation_age`).
     intake_.set_pace(reign_.is_fresh() ? leading_intake : following_intake);
     pass_intake();
     note_view();
@@ -56,8 +56,8 @@
 }
 
 bool cell_member::sees_notices() const {
-    return workers_age() < settings_.leave_notice - order_way &&
-           operators_age() < settings_.evacuation_notice - order_way;
+    return workers_age() < settings_.leave_notice - order_delivery_time &&
+           operators_age() < settings_.evacuation_notice - order_delivery_time;
 }
 
 void cell_member::note_view() {
@@ -82,7 +82,7 @@
         return;
     for (const job_id& id : std::exchange(held_back_, {}))
         if (const job_entry* const job = state_.find(id))
-            coordinator_->take_intake(*job);
+            coordinator_->apply_intake(*job);
 }
 
 /// Fences the predecessor first, so that what is read after it is all that it ever wrote.
@@ -124,10 +124,10 @@
          reign_.predecessors_prolonged_until()},
         state_);
     if (config_)
-        coordinator_->take_config(*config_);
-    coordinator_->take_evacuated(evacuated_);
+        coordinator_->apply_config(*config_);
+    coordinator_->update_evacuated(evacuated_);
     listing_.take_changed();
-    coordinator_->take_listing(listing_.rows());
+    coordinator_->update_workers(listing_.rows());
     ask_predecessor();
 }
 
@@ -138,7 +138,7 @@
         return;
     predecessor_ = std::make_unique<predecessor_asker>(
         time_, peers_, *before, prepared_, reign_.predecessors_acted_until(),
-        [this](const outstanding_orders& orders) { coordinator_->take_outstanding(orders); });
+        [this](const outstanding_orders& orders) { coordinator_->apply_outstanding(orders); });
 }
 
 std::string cell_member::take_step_down(std::string_view bytes) {
@@ -150,9 +150,10 @@
     if (!ended_ || ended_->epoch != request->epoch)
         return encode_outstanding(std::nullopt);
     outstanding_orders orders = ended_->orders;
-    for (held_worker& worker : orders.held)
-        if (worker.left)
-            *worker.left = std::max(duration::zero(), *worker.left - (time_.now() - ended_->at));
+    for (unresolved_worker& worker : orders.unresolved_workers)
+        if (worker.expires_in)
+            *worker.expires_in =
+                std::max(duration::zero(), *worker.expires_in - (time_.now() - ended_->at));
     return encode_outstanding(orders);
 }
 
--- a/src/cell_host/cell_metrics.cpp
+++ b/src/cell_host/cell_metrics.cpp
@@ -101,13 +101,14 @@
     set("figwinch_cell_open_jobs", counts.open_jobs, "jobs that haven't ended");
     set("figwinch_cell_tasks_running", counts.running, "tasks on workers");
     set("figwinch_cell_workers", counts.workers, "workers known");
-    set("figwinch_cell_workers_silent", counts.workers_silent, "workers without a report for 2 s");
+    set("figwinch_cell_workers_silent", counts.workers_unresponsive,
+        "workers without a report for 2 s");
     set("figwinch_cell_workers_unresolved", counts.workers_unresolved,
         "workers that a predecessor may have given tasks and that haven't reported");
     set("figwinch_cell_starts", counts.starts, "orders to start in this reign");
     set("figwinch_cell_stops", counts.stops, "orders to stop in this reign");
-    set("figwinch_cell_holds", counts.holds, "holds in this reign");
-    set("figwinch_cell_paces", counts.paces, "orders on pace in this reign");
+    set("figwinch_cell_holds", counts.lease_renewals, "holds in this reign");
+    set("figwinch_cell_paces", counts.throttle_orders, "orders on pace in this reign");
     set("figwinch_cell_stragglers", counts.stragglers, "runs moved in this reign");
     set("figwinch_cell_advice_calls", counts.advice_calls, "calls for advice in this reign");
 }
--- a/src/cell_host/cell_status.cpp
+++ b/src/cell_host/cell_status.cpp
@@ -13,7 +13,7 @@
     pb::CellWorkerView& row = *shown.add_workers();
     row.set_id(from.id.str());
     row.set_data_centre(from.data_centre.str());
-    row.set_standing(std::string(to_string(from.standing)));
+    row.set_standing(std::string(to_string(from.status)));
     row.set_tasks(from.tasks);
     row.set_free_cpu_millis(from.free.cpu_millis);
     row.set_free_memory_mib(from.free.memory_mib);
@@ -27,7 +27,7 @@
     row.set_running(from.running);
     row.set_waiting(from.waiting);
     row.set_waits_for(std::string(to_string(from.waits_for)));
-    row.set_known_for_s(std::chrono::duration<double>(from.known_for).count());
+    row.set_known_for_s(std::chrono::duration<double>(from.age).count());
 }
 
 } // namespace
--- a/tests/cell/cell_advice_test.cpp
+++ b/tests/cell/cell_advice_test.cpp
@@ -79,7 +79,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("open"), phase("adv-a"));
         const auto shown = view();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, shown.jobs.size());
-        CPPUNIT_ASSERT(shown.jobs[0].waits_for == job_wait::advice);
+        CPPUNIT_ASSERT(shown.jobs[0].waits_for == wait_reason::advice);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, shown.jobs[0].waiting);
         policy().silent = false;
         world_.time().run_for(seconds(6));
--- a/tests/cell/cell_history.cpp
+++ b/tests/cell/cell_history.cpp
@@ -49,7 +49,7 @@
 /// Long leases make a successor wait for long where it has to; short ones run out beside faults.
 cell_settings settings_for(std::uint64_t seed) {
     cell_settings settings;
-    settings.max_hold = is_beside_dark(seed) && seed % 2 != 0 ? long_lease : short_lease;
+    settings.max_granted_lease = is_beside_dark(seed) && seed % 2 != 0 ? long_lease : short_lease;
     return settings;
 }
 
--- a/tests/cell/cell_recovery_test.cpp
+++ b/tests/cell/cell_recovery_test.cpp
@@ -303,15 +303,15 @@
         const coordinator_view shown =
             world_.host(*world_.coordinator())->member().coordinating()->view();
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, shown.workers.size());
-        CPPUNIT_ASSERT(shown.workers[0].standing == worker_standing::usable);
+        CPPUNIT_ASSERT(shown.workers[0].status == worker_status::usable);
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, shown.workers[0].tasks);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, shown.jobs.size());
-        std::map<std::string, job_wait> waits;
+        std::map<std::string, wait_reason> waits;
         for (const job_view& job : shown.jobs)
             waits[job.id.str()] = job.waits_for;
-        CPPUNIT_ASSERT(waits.at("a") == job_wait::none);
-        CPPUNIT_ASSERT(waits.at("b") == job_wait::no_label);
-        CPPUNIT_ASSERT(waits.at("c") == job_wait::no_room);
+        CPPUNIT_ASSERT(waits.at("a") == wait_reason::none);
+        CPPUNIT_ASSERT(waits.at("b") == wait_reason::no_label);
+        CPPUNIT_ASSERT(waits.at("c") == wait_reason::no_room);
     }
     /// Story: a caller sends the same job again at another host, seconds after the first was taken.
     void a_resend_is_the_same_job() {
--- a/tests/cell/cell_world.h
+++ b/tests/cell/cell_world.h
@@ -87,7 +87,7 @@
         entry.listing.data_centre = data_centre_id("dc-" + std::to_string(random_() % 2));
         watch_.room[name] = entry.listing.capacity;
         entry.worker = std::make_unique<sim_worker>(time_, watch_, name, 0.98 + 0.02 * draw_share(),
-                                                    settings_.max_hold);
+                                                    settings_.max_granted_lease);
         list_worker(name, "ready");
     }
     void list_worker(const std::string& name, const std::string& state) {
