--- a/tests/cell/crowded_test.cpp
+++ b/tests/cell/full_cell_test.cpp
@@ -7,13 +7,13 @@
 using std::chrono::seconds;
 
 /// A cell that service tasks nearly fill while batch jobs keep arriving.
-class crowded_test : public recovery_fixture {
-    CPPUNIT_TEST_SUITE(crowded_test);
-    CPPUNIT_TEST(short_tasks_go_before_first_starts_of_lasting_ones);
+class full_cell_test : public recovery_fixture {
+    CPPUNIT_TEST_SUITE(full_cell_test);
+    CPPUNIT_TEST(batch_tasks_start_before_new_service_tasks);
     CPPUNIT_TEST(jobs_keep_their_age_through_a_change_of_coordinator);
     CPPUNIT_TEST_SUITE_END();
 
-    static job_spec wide(std::uint32_t tasks, duration estimate) {
+    static job_spec batch_job(std::uint32_t tasks, duration estimate) {
         step_spec step = cell_world::make_step(tasks, 1000);
         step.estimate = estimate;
         return cell_world::make_job({step});
@@ -21,14 +21,14 @@
 
 public:
     /// Guards against urgent batch tasks that wait forever behind service tasks, which never end.
-    void short_tasks_go_before_first_starts_of_lasting_ones() {
+    void batch_tasks_start_before_new_service_tasks() {
         begin();
         world_.submit(0, "old", lasting(12));
         world_.time().run_for(seconds(2));
-        world_.submit(0, "held", wide(4, seconds(1)));
+        world_.submit(0, "held", batch_job(4, seconds(1)));
         world_.time().run_for(milliseconds(100));
         world_.submit(0, "new", lasting(4));
-        world_.submit(0, "short", wide(4, seconds(1)));
+        world_.submit(0, "short", batch_job(4, seconds(1)));
         world_.time().run_for(seconds(2));
         CPPUNIT_ASSERT(world_.watch().begun("short.0.0.0"));
         world_.time().run_for(seconds(8));
@@ -40,7 +40,7 @@
         begin();
         world_.submit(0, "a", lasting(16));
         world_.time().run_for(seconds(1));
-        job_spec job = wide(1, seconds(1));
+        job_spec job = batch_job(1, seconds(1));
         job.accepted_at = world_.time().clock().wall_now();
         world_.submit(0, "b", job);
         world_.time().run_for(seconds(5));
@@ -53,11 +53,11 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, view.jobs.size());
         for (const job_view& row : view.jobs)
             if (row.id == job_id("b"))
-                CPPUNIT_ASSERT(row.known_for >= seconds(8));
+                CPPUNIT_ASSERT(row.age >= seconds(8));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(crowded_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(full_cell_test);
 
 } // namespace
 } // namespace figwinch::sim
--- a/tests/cell/job_outlook_test.cpp
+++ b/tests/cell/job_outlook_test.cpp
@@ -24,7 +24,7 @@
     const instant begin_{seconds(1000)};
 
     /// Two steps, one after the other, of four tasks of 2 s on one core; wanted within 10 s.
-    job_work make_job() const {
+    job_state make_job() const {
         auto spec = std::make_shared<job_spec>();
         step_spec step;
         step.tasks = tasks;
@@ -32,30 +32,30 @@
         step.estimate = seconds(2);
         spec->steps = {step, step};
         spec->steps[1].after = {0};
-        job_work job;
+        job_state job;
         job.spec = spec;
-        job.came_at = begin_;
+        job.submitted_at = begin_;
         job.objective_at = begin_ + seconds(10);
-        auto occurrence = std::make_unique<occurrence_work>();
+        auto occurrence = std::make_unique<occurrence_state>();
         for (const step_spec& each : spec->steps) {
-            step_work& made = occurrence->steps.emplace_back();
+            step_state& made = occurrence->steps.emplace_back();
             made.spec = &each;
-            made.left = tasks;
+            made.unfinished = tasks;
             made.tasks.resize(tasks);
         }
         job.occurrences[0] = std::move(occurrence);
         return job;
     }
-    static step_work& step_of(job_work& job, std::size_t number) {
+    static step_state& step_of(job_state& job, std::size_t number) {
         return job.occurrences[0]->steps[number];
     }
-    job_prospect prospect_after(const job_work& job, duration waited) const {
+    job_prospect prospect_after(const job_state& job, duration waited) const {
         return outlook_of(job, begin_ + waited).prospect;
     }
 
 public:
     void a_job_that_its_longest_chain_fits_is_in_time() {
-        const job_work job = make_job();
+        const job_state job = make_job();
         CPPUNIT_ASSERT(prospect_after(job, seconds(6)) == job_prospect::in_time);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(16, outlook_of(job, begin_).work_left, 1e-9);
     }
@@ -67,25 +67,25 @@
         CPPUNIT_ASSERT(prospect_after(make_job(), seconds(27)) == job_prospect::lost);
     }
     void steps_that_have_ended_take_no_time() {
-        job_work job = make_job();
-        step_of(job, 0).left = 0;
+        job_state job = make_job();
+        step_of(job, 0).unfinished = 0;
         CPPUNIT_ASSERT(prospect_after(job, seconds(8)) == job_prospect::in_time);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(8, outlook_of(job, begin_).work_left, 1e-9);
     }
     void running_tasks_take_what_their_progress_leaves() {
-        job_work job = make_job();
-        step_of(job, 0).left = 0;
-        step_work& last = step_of(job, 1);
-        last.placed = last.left;
-        for (task_work& task : last.tasks)
+        job_state job = make_job();
+        step_of(job, 0).unfinished = 0;
+        step_state& last = step_of(job, 1);
+        last.assigned = last.unfinished;
+        for (task_state& task : last.tasks)
             task.run.percent = 75;
         CPPUNIT_ASSERT(prospect_after(job, seconds(9)) == job_prospect::in_time);
     }
     void the_order_is_priority_then_prospect_then_least_work() {
-        job_work urgent = make_job();
-        job_work small = make_job();
-        job_work large = make_job();
-        job_work late = make_job();
+        job_state urgent = make_job();
+        job_state small = make_job();
+        job_state large = make_job();
+        job_state late = make_job();
         urgent.work_left = 100;
         small.priority = large.priority = late.priority = 2;
         small.work_left = 1;
--- a/tests/cell/lasting_recovery_test.cpp
+++ b/tests/cell/lasting_recovery_test.cpp
@@ -23,8 +23,8 @@
         constexpr std::uint32_t tasks = 8;
         std::size_t orders = 0;
         world_.fleet().on_start_sent = [&orders](const auto&, const auto&) { ++orders; };
-        const auto told = world_.submit(0, "a", lasting(tasks));
-        run_until([&told] { return told->has_value(); });
+        const auto reply = world_.submit(0, "a", lasting(tasks));
+        run_until([&reply] { return reply->has_value(); });
         const std::size_t first = *world_.coordinator();
         world_.host(first)->way_to_log().lost_answers = 1;
         run_until([this] { return !record(record_kind::progress, "a").empty(); });
--- a/tests/cell/linked_loss_test.cpp
+++ b/tests/cell/linked_loss_test.cpp
@@ -57,9 +57,9 @@
     /// grant, where the relays that know over which connection it went are lost too.
     void a_task_whose_worker_and_passing_hosts_are_lost_runs_elsewhere() {
         lose_worker_at_a_start([this] {
-            const std::size_t leads = *world_.coordinator();
+            const std::size_t coordinating_host = *world_.coordinator();
             for (std::size_t host = 0; host < world_.hosts(); ++host)
-                if (host != leads)
+                if (host != coordinating_host)
                     world_.kill_host(host);
         });
     }
--- a/tests/cell/new_life_test.cpp
+++ b/tests/cell/new_life_test.cpp
@@ -9,9 +9,9 @@
 /// How soon tasks of a lost worker run again if its incarnation is new to the coordinator.
 class new_life_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(new_life_test);
-    CPPUNIT_TEST(a_start_of_an_earlier_life_isnt_waited_for_by_its_clock);
+    CPPUNIT_TEST(a_start_for_an_earlier_incarnation_isnt_waited_for_by_its_clock);
     CPPUNIT_TEST(tasks_of_a_new_worker_run_again_within_its_lease);
-    CPPUNIT_TEST(tasks_of_a_worker_that_began_anew_run_again_within_its_lease);
+    CPPUNIT_TEST(tasks_of_a_restarted_worker_run_again_within_its_lease);
     CPPUNIT_TEST(tasks_of_a_worker_that_began_anew_out_of_reach_dont_wait_for_the_longest_lease);
     CPPUNIT_TEST_SUITE_END();
 
@@ -22,7 +22,7 @@
 public:
     /// Guards against comparing an expiry on the clock of a worker's earlier incarnation with the
     /// clock of a later one.
-    void a_start_of_an_earlier_life_isnt_waited_for_by_its_clock() {
+    void a_start_for_an_earlier_incarnation_isnt_waited_for_by_its_clock() {
         begin();
         world_.submit(0, "a", lasting(8));
         world_.time().run_for(seconds(60));
@@ -63,7 +63,7 @@
     }
     /// Guards against waiting for the longest lease of a restarted worker although the coordinator
     /// has outlasted everything that its predecessors started.
-    void tasks_of_a_worker_that_began_anew_run_again_within_its_lease() {
+    void tasks_of_a_restarted_worker_run_again_within_its_lease() {
         begin();
         world_.kill_host(*world_.coordinator());
         world_.submit(1, "a", lasting(8));
--- a/tests/cell/pace_test.cpp
+++ b/tests/cell/pace_test.cpp
@@ -63,7 +63,11 @@
     sim_fleet& fleet() { return world_.fleet(); }
     int pace() { return worker().pace_of("f.0.0.0").value_or(-1); }
     std::uint64_t orders() {
-        return world_.host(*world_.coordinator())->member().coordinating()->counts().paces;
+        return world_.host(*world_.coordinator())
+            ->member()
+            .coordinating()
+            ->counts()
+            .throttle_orders;
     }
     /// Runs until `reached`, so long at most.
     template <class Reached>
--- a/tests/cell/placement_rules_test.cpp
+++ b/tests/cell/placement_rules_test.cpp
@@ -23,7 +23,7 @@
     CPPUNIT_TEST(a_gang_doesnt_start_in_part);
     CPPUNIT_TEST_SUITE_END();
 
-    void place_workers() {
+    void set_up_racks() {
         int index = 0;
         for (auto& [name, entry] : world_.fleet().workers) {
             entry.listing.rack = rack_id(index < 2 ? "r0" : "r1");
@@ -64,7 +64,7 @@
     /// Guards against a task on a worker without the label that it requires, also after a worker
     /// with the label is lost.
     void tasks_run_only_where_their_label_is() {
-        place_workers();
+        set_up_racks();
         step_spec step = lasting_step(4, 500);
         step.label = "wide";
         submit("a", step);
@@ -77,7 +77,7 @@
         kept_the_rules();
     }
     void tasks_with_a_label_wait_when_no_worker_has_it() {
-        place_workers();
+        set_up_racks();
         step_spec step = cell_world::make_step(2, 500);
         step.label = "other";
         submit("a", step);
@@ -88,7 +88,7 @@
     /// Guards against more tasks of a step on a worker than its limit allows when no other worker
     /// is free.
     void tasks_of_a_step_keep_apart() {
-        place_workers();
+        set_up_racks();
         step_spec step = lasting_step(6, 100);
         step.most_per_worker = 1;
         submit("a", step);
@@ -100,7 +100,7 @@
     }
     /// Guards against a successor that does not count the runs that it has adopted.
     void tasks_of_a_step_keep_apart_through_a_change_of_coordinator() {
-        place_workers();
+        set_up_racks();
         step_spec step = lasting_step(6, 100);
         step.most_per_worker = 1;
         submit("a", step);
@@ -109,7 +109,7 @@
         kept_the_rules();
     }
     void tasks_run_near_their_data() {
-        place_workers();
+        set_up_racks();
         step_spec step = lasting_step(6, 1000);
         step.near_rack = rack_id("r1");
         submit("a", step);
@@ -118,7 +118,7 @@
     }
     /// Guards against tasks that wait for the preferred rack while others have free resources.
     void tasks_run_elsewhere_when_the_rack_of_their_data_is_full() {
-        place_workers();
+        set_up_racks();
         step_spec step = lasting_step(12, 1000);
         step.near_rack = rack_id("r1");
         submit("a", step);
@@ -128,7 +128,7 @@
     /// Guards against a gang that runs at a fraction of its speed because it is split over two
     /// racks.
     void a_gang_stays_on_one_rack() {
-        place_workers();
+        set_up_racks();
         step_spec step = lasting_step(7, 1000);
         step.gang = step.one_rack = true;
         submit("a", step);
@@ -142,17 +142,17 @@
     /// Guards against members of a gang that restart on its previous rack, where they no longer fit
     /// together.
     void a_gang_moves_to_the_other_rack_as_a_whole() {
-        place_workers();
+        set_up_racks();
         step_spec step = lasting_step(7, 1000);
         step.gang = step.one_rack = true;
         submit("a", step);
         const std::string before = *racks_of("a", 7).begin();
         lose(before == "r0" ? "w1" : "w3");
         // When some members of a gang are lost, the others end too.
-        sim_worker& left = worker(before == "r0" ? "w0" : "w2");
+        sim_worker& remaining = worker(before == "r0" ? "w0" : "w2");
         for (std::uint32_t index = 0; index < 7; ++index)
-            if (left.has(task("a", index)))
-                left.end_run(task("a", index), run_end::broken);
+            if (remaining.has(task("a", index)))
+                remaining.end_run(task("a", index), run_end::broken);
         world_.time().run_for(longest_after_loss);
         all_run("a", 7);
         CPPUNIT_ASSERT((racks_of("a", 7) == std::set<std::string>{before == "r0" ? "r1" : "r0"}));
@@ -160,7 +160,7 @@
     }
     /// Guards against starting some members of a gang while there is no room for the others.
     void a_gang_doesnt_start_in_part() {
-        place_workers();
+        set_up_racks();
         step_spec step = cell_world::make_step(9, 1000);
         step.gang = step.one_rack = true;
         submit("a", step);
--- a/tests/cell/recovery_fixture.h
+++ b/tests/cell/recovery_fixture.h
@@ -79,7 +79,7 @@
 private:
     static cell_settings with_lease(duration lease) {
         cell_settings settings;
-        settings.max_hold = lease;
+        settings.max_granted_lease = lease;
         return settings;
     }
 };
--- a/tests/cell/reign_test.cpp
+++ b/tests/cell/reign_test.cpp
@@ -99,7 +99,7 @@
         time_.run_for(seconds(3));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, leaders());
         CPPUNIT_ASSERT(!hosts_[first]->election.is_fresh());
-        time_.run_for(silence_limit);
+        time_.run_for(max_unconfirmed_leadership);
         CPPUNIT_ASSERT(!hosts_[first]->election.leads());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leaders());
     }
--- a/tests/cell/step_down_test.cpp
+++ b/tests/cell/step_down_test.cpp
@@ -11,13 +11,13 @@
 /// What a successor learns from a coordinator that has lost the log but continues to act.
 class step_down_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(step_down_test);
-    CPPUNIT_TEST(a_coordinator_parted_from_the_log_ends_for_its_successor);
-    CPPUNIT_TEST(tasks_of_a_lost_worker_dont_wait_for_a_coordinator_parted_from_the_log);
+    CPPUNIT_TEST(a_coordinator_cut_off_from_the_log_steps_down_for_its_successor);
+    CPPUNIT_TEST(tasks_of_a_lost_worker_dont_wait_for_a_coordinator_cut_off_from_the_log);
     CPPUNIT_TEST(tasks_of_a_lost_worker_dont_wait_anew_for_each_coordinator);
     CPPUNIT_TEST(a_task_recorded_without_an_order_doesnt_wait_for_its_worker);
     CPPUNIT_TEST(a_coordinator_that_wakes_to_its_end_tells_what_it_ordered);
     CPPUNIT_TEST(a_task_recorded_without_an_order_by_a_coordinator_out_of_reach_runs_in_time);
-    CPPUNIT_TEST(outstanding_orders_pass_the_bus_unchanged);
+    CPPUNIT_TEST(outstanding_orders_survive_encoding_and_decoding);
     CPPUNIT_TEST_SUITE_END();
 
     /// Starts service tasks and waits until they run; returns the host of the coordinator.
@@ -28,7 +28,7 @@
         all_run("a", task_count);
         return *world_.coordinator();
     }
-    void part_from_log(std::size_t host) {
+    void disconnect_from_log(std::size_t host) {
         world_.host(host)->way_to_log().state = sim_log::way::silent;
     }
     /// Returns the worker that the log names for the only task of job "b".
@@ -52,9 +52,9 @@
 
     /// Guards against two coordinators that send orders at the same time until the first one
     /// notices by itself that it was superseded.
-    void a_coordinator_parted_from_the_log_ends_for_its_successor() {
+    void a_coordinator_cut_off_from_the_log_steps_down_for_its_successor() {
         const std::size_t first = begin_with_tasks();
-        part_from_log(first);
+        disconnect_from_log(first);
         run_until([&] {
             const auto acting = world_.coordinator();
             return acting && *acting != first;
@@ -65,29 +65,29 @@
     }
     /// Guards against a successor that waits for leases which its predecessor did not renew because
     /// the worker was already unresponsive.
-    void tasks_of_a_lost_worker_dont_wait_for_a_coordinator_parted_from_the_log() {
+    void tasks_of_a_lost_worker_dont_wait_for_a_coordinator_cut_off_from_the_log() {
         constexpr duration later = milliseconds(700);
         const std::size_t first = begin_with_tasks();
         lose("w1");
         world_.time().run_for(later);
-        part_from_log(first);
+        disconnect_from_log(first);
         world_.time().run_for(longest_after_loss - later);
         all_run("a", task_count);
         kept_the_rules();
     }
     /// Guards against a wait for expired leases that starts again with each change of coordinator.
     void tasks_of_a_lost_worker_dont_wait_anew_for_each_coordinator() {
-        constexpr duration first_parting = milliseconds(700);
-        constexpr duration second_parting = milliseconds(4000);
+        constexpr duration first_disconnect = milliseconds(700);
+        constexpr duration second_disconnect = milliseconds(4000);
         const std::size_t first = begin_with_tasks();
         lose("w1");
-        world_.time().run_for(first_parting);
-        part_from_log(first);
-        world_.time().run_for(second_parting - first_parting);
+        world_.time().run_for(first_disconnect);
+        disconnect_from_log(first);
+        world_.time().run_for(second_disconnect - first_disconnect);
         const std::size_t second = *world_.acting();
         CPPUNIT_ASSERT(second != first);
-        part_from_log(second);
-        world_.time().run_for(longest_after_loss - second_parting);
+        disconnect_from_log(second);
+        world_.time().run_for(longest_after_loss - second_disconnect);
         all_run("a", task_count);
         kept_the_rules();
     }
@@ -95,7 +95,7 @@
     void a_task_recorded_without_an_order_doesnt_wait_for_its_worker() {
         const std::size_t first = begin_with_tasks();
         const std::string waiting = record_without_order(first);
-        part_from_log(first);
+        disconnect_from_log(first);
         world_.time().run_for(longest_down);
         CPPUNIT_ASSERT(world_.watch().runs(waiting));
         kept_the_rules();
@@ -120,21 +120,22 @@
     void a_task_recorded_without_an_order_by_a_coordinator_out_of_reach_runs_in_time() {
         const std::size_t first = begin_with_tasks();
         const std::string waiting = record_without_order(first);
-        part_from_log(first);
+        disconnect_from_log(first);
         world_.cut_from_peers(first, true);
         world_.time().run_for(longest_down);
         kept_the_rules();
         CPPUNIT_ASSERT(world_.watch().runs(waiting));
     }
-    void outstanding_orders_pass_the_bus_unchanged() {
+    void outstanding_orders_survive_encoding_and_decoding() {
         outstanding_orders orders;
-        orders.held = {{worker_id("w1"), milliseconds(1500)}, {worker_id("w2"), std::nullopt}};
+        orders.unresolved_workers = {{worker_id("w1"), milliseconds(1500)},
+                                     {worker_id("w2"), std::nullopt}};
         orders.not_ordered = {"a.0.0.1"};
         const auto read = decode_outstanding(encode_outstanding(orders));
         CPPUNIT_ASSERT(read);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, read->held.size());
-        CPPUNIT_ASSERT(read->held[0].left >= milliseconds(1500));
-        CPPUNIT_ASSERT(!read->held[1].left);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, read->unresolved_workers.size());
+        CPPUNIT_ASSERT(read->unresolved_workers[0].expires_in >= milliseconds(1500));
+        CPPUNIT_ASSERT(!read->unresolved_workers[1].expires_in);
         CPPUNIT_ASSERT_EQUAL(std::string("a.0.0.1"), read->not_ordered.at(0));
         CPPUNIT_ASSERT(!decode_outstanding(encode_outstanding(std::nullopt)));
         CPPUNIT_ASSERT(!decode_outstanding("\xff\xff"));
--- a/tests/cell/worker_loss_test.cpp
+++ b/tests/cell/worker_loss_test.cpp
@@ -9,21 +9,21 @@
 /// How soon tasks of a lost worker run again, and what the log records of workers.
 class worker_loss_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(worker_loss_test);
-    CPPUNIT_TEST(tasks_of_a_dark_worker_run_again_within_its_lease);
-    CPPUNIT_TEST(tasks_of_a_dark_worker_run_again_after_a_change_of_coordinator);
-    CPPUNIT_TEST(tasks_of_a_dark_worker_run_again_after_the_coordinators_host_is_lost);
+    CPPUNIT_TEST(tasks_of_a_lost_worker_run_again_within_its_lease);
+    CPPUNIT_TEST(tasks_of_a_lost_worker_run_again_after_a_change_of_coordinator);
+    CPPUNIT_TEST(tasks_of_a_lost_worker_run_again_after_the_coordinators_host_is_lost);
     CPPUNIT_TEST(tasks_of_a_worker_that_is_lost_with_the_coordinators_host_run_again);
     CPPUNIT_TEST(an_outage_of_the_log_ends_no_task);
     CPPUNIT_TEST(a_task_isnt_started_again_on_a_worker_that_has_just_gone);
     CPPUNIT_TEST(a_task_whose_worker_is_lost_at_its_start_runs_elsewhere_in_time);
-    CPPUNIT_TEST(a_task_whose_start_reached_one_life_at_most_waits_for_the_lease_only);
-    CPPUNIT_TEST(lasting_tasks_that_fill_dont_wait_for_processors);
-    CPPUNIT_TEST(records_without_workers_leave_every_worker_in_doubt);
-    CPPUNIT_TEST(room_is_kept_for_lasting_tasks_that_are_down);
+    CPPUNIT_TEST(a_task_whose_start_reached_one_incarnation_at_most_waits_for_the_lease_only);
+    CPPUNIT_TEST(best_effort_service_tasks_dont_wait_for_cpu);
+    CPPUNIT_TEST(records_without_workers_allow_runs_on_any_worker);
+    CPPUNIT_TEST(resources_are_reserved_for_service_tasks_that_are_down);
     CPPUNIT_TEST_SUITE_END();
 
     /// Removes the workers from all progress records, as a version that did not record them wrote.
-    void forget_recorded_workers() {
+    void erase_recorded_workers() {
         sim_store::stream& progress = world_.store().of(cell_stream::progress);
         for (auto& [key, kept] : progress.newest) {
             auto job = key.front() == static_cast<char>(record_kind::progress) && kept.value
@@ -56,7 +56,7 @@
 public:
     /// A worker that grants leases of 10 s is lost for good. Guards against service tasks that are
     /// down for 10 s although other workers have room.
-    void tasks_of_a_dark_worker_run_again_within_its_lease() {
+    void tasks_of_a_lost_worker_run_again_within_its_lease() {
         begin();
         world_.submit(0, "a", lasting(8));
         world_.time().run_for(seconds(3));
@@ -68,7 +68,7 @@
     /// A worker is lost for good, and the coordinator's process restarts a second later. Guards
     /// against a successor that waits for a full lease from the start of its own term, 11 s from
     /// the loss.
-    void tasks_of_a_dark_worker_run_again_after_a_change_of_coordinator() {
+    void tasks_of_a_lost_worker_run_again_after_a_change_of_coordinator() {
         begin();
         world_.submit(0, "a", lasting(8));
         world_.time().run_for(seconds(3));
@@ -83,7 +83,7 @@
     }
     /// Guards against tasks of a lost worker that wait for everything that a lost coordinator may
     /// have done without the log.
-    void tasks_of_a_dark_worker_run_again_after_the_coordinators_host_is_lost() {
+    void tasks_of_a_lost_worker_run_again_after_the_coordinators_host_is_lost() {
         lose_worker_and_coordinator(seconds(1));
     }
     /// Guards against tasks of a lost worker that wait for everything that a lost coordinator may
@@ -147,7 +147,7 @@
     }
     /// Guards against waiting for an unanswered start order as long as the longest lease, where
     /// only the intended incarnation of the worker can have received the order.
-    void a_task_whose_start_reached_one_life_at_most_waits_for_the_lease_only() {
+    void a_task_whose_start_reached_one_incarnation_at_most_waits_for_the_lease_only() {
         begin();
         world_.submit(0, "a", lasting(8));
         world_.time().run_for(seconds(3));
@@ -165,7 +165,7 @@
     }
     /// Best-effort service tasks have taken all spare CPU for good. Guards against one more such
     /// task that waits forever, though best-effort tasks do not count against a worker's CPU.
-    void lasting_tasks_that_fill_dont_wait_for_processors() {
+    void best_effort_service_tasks_dont_wait_for_cpu() {
         begin();
         job_spec filling = lasting(5);
         filling.steps.front().filling = true;
@@ -178,14 +178,14 @@
     /// All hosts are replaced by a newer version while a worker is unreachable; the earlier version
     /// did not record workers. Guards against taking a missing record for unused workers: the tasks
     /// of the unreachable worker were started elsewhere while they ran there.
-    void records_without_workers_leave_every_worker_in_doubt() {
+    void records_without_workers_allow_runs_on_any_worker() {
         begin();
         world_.submit(0, "a", lasting(8));
         world_.time().run_for(seconds(3));
         world_.fleet().workers.at("w1").cut = true;
         for (std::size_t host = 0; host < world_.hosts(); ++host)
             world_.kill_host(host);
-        forget_recorded_workers();
+        erase_recorded_workers();
         for (std::size_t host = 0; host < world_.hosts(); ++host)
             world_.start_host(host);
         world_.time().run_for(seconds(8));
@@ -198,7 +198,7 @@
     /// A worker is lost, and while its service tasks wait for its lease to expire, batch tasks take
     /// all other resources. Guards against service tasks that are down as long as batch tasks keep
     /// arriving: each gap was only as large as the batch task that had ended.
-    void room_is_kept_for_lasting_tasks_that_are_down() {
+    void resources_are_reserved_for_service_tasks_that_are_down() {
         begin();
         job_spec large = lasting(2);
         large.steps.front().size.cpu_millis = 3000;
--- a/tests/cell/worker_notice_test.cpp
+++ b/tests/cell/worker_notice_test.cpp
@@ -22,16 +22,16 @@
         world_.fleet().on_start_sent = [this](const std::string& worker, const std::string&) {
             last_start_[worker] = world_.time().now();
         };
-        submit_later(0);
+        submit_repeatedly(0);
     }
-    void submit_later(int number) {
+    void submit_repeatedly(int number) {
         const std::size_t host = world_.host(0) != nullptr ? 0 : 1;
         world_.submit(host, "n" + std::to_string(number),
                       cell_world::make_job({cell_world::make_step(4, 500)}));
-        world_.time().after(milliseconds(100), [this, number] { submit_later(number + 1); });
+        world_.time().after(milliseconds(100), [this, number] { submit_repeatedly(number + 1); });
     }
     sim_log& coordinators_log() { return world_.host(*world_.coordinator())->way_to_log(); }
-    void hold_starts_unsent(duration span) {
+    void delay_starts(duration span) {
         for (std::size_t index = 0; index < world_.hosts(); ++index)
             world_.host(index)->way_to_workers().unsent = span;
     }
@@ -72,7 +72,7 @@
     void a_start_that_waits_unsent_isnt_sent_once_the_notice_is_read() {
         constexpr duration read_within = milliseconds(300);
         begin_with_load();
-        hold_starts_unsent(milliseconds(700));
+        delay_starts(milliseconds(700));
         world_.time().run_for(seconds(3));
         sim_orders& orders = world_.host(*world_.coordinator())->way_to_workers();
         run_until([&orders] { return orders.waits_for == "w1"; });
@@ -85,11 +85,11 @@
     }
     /// Guards against start orders that use bandwidth although they arrive after their expiry.
     void a_start_that_waits_too_long_unsent_isnt_sent() {
-        hold_starts_unsent(milliseconds(900));
+        delay_starts(milliseconds(900));
         begin_with_load();
         world_.time().run_for(seconds(5));
         CPPUNIT_ASSERT(last_start_.empty());
-        hold_starts_unsent(duration::zero());
+        delay_starts(duration::zero());
         world_.time().run_for(seconds(5));
         CPPUNIT_ASSERT(!last_start_.empty());
         kept_the_rules();
--- a/tests/experiment/setup_test.cpp
+++ b/tests/experiment/setup_test.cpp
@@ -31,8 +31,8 @@
                                      "max_hold_ms=2500,status_s=90,workers=9,log_delay_ms=20");
         CPPUNIT_ASSERT(made.ok());
         CPPUNIT_ASSERT_EQUAL(std::string("variant"), made->name);
-        CPPUNIT_ASSERT(made->settings.max_hold == std::chrono::milliseconds(2500));
-        CPPUNIT_ASSERT(made->settings.status_kept == std::chrono::seconds(90));
+        CPPUNIT_ASSERT(made->settings.max_granted_lease == std::chrono::milliseconds(2500));
+        CPPUNIT_ASSERT(made->settings.status_retention == std::chrono::seconds(90));
         CPPUNIT_ASSERT_EQUAL(std::int64_t{9}, made->load.workers);
         CPPUNIT_ASSERT(made->load.log_delay == std::chrono::milliseconds(20));
     }
@@ -40,7 +40,7 @@
         const auto made = make_setup("base", small_setup().load, "");
         CPPUNIT_ASSERT(made.ok());
         CPPUNIT_ASSERT_EQUAL(std::int64_t{6}, made->load.workers);
-        CPPUNIT_ASSERT(made->settings.max_hold == cell_settings{}.max_hold);
+        CPPUNIT_ASSERT(made->settings.max_granted_lease == cell_settings{}.max_granted_lease);
     }
     void a_bad_change_is_named_with_value_and_range() {
         refuses("max_hold_ms=10", "max_hold_ms=10: expected 1000 to 600000 ms");
--- a/tests/link/link_lane_test.cpp
+++ b/tests/link/link_lane_test.cpp
@@ -195,7 +195,7 @@
         exchange();
         const start_order& sent = workers_.starts.at(0).order;
         CPPUNIT_ASSERT(sent.still_wanted());
-        time_.advance(order_way);
+        time_.advance(order_delivery_time);
         CPPUNIT_ASSERT(!sent.still_wanted());
     }
     /// Guards against answers that are waited for from a process that is gone.
--- a/tools/experiment/day_cell.cpp
+++ b/tools/experiment/day_cell.cpp
@@ -47,8 +47,8 @@
                               load.memory_mib_per_worker, 0};
     entry.listing.data_centre = data_centre_id("dc-" + std::to_string(data_centre));
     const double rate = slowest_rate + (1 - slowest_rate) * draw_share();
-    entry.worker =
-        std::make_unique<sim::sim_worker>(time_, watch, name, rate, with_.settings.max_hold);
+    entry.worker = std::make_unique<sim::sim_worker>(time_, watch, name, rate,
+                                                     with_.settings.max_granted_lease);
     entry.worker->slowdown_per_core = load.slowdown_per_core;
     serving_.emplace_back(draw_share());
     list(name, "ready");
