--- a/include/figwinch/cell/job_progress.h
+++ b/include/figwinch/cell/job_progress.h
@@ -9,36 +9,40 @@
 
 namespace figwinch {
 
-/// Whether a job goes on, and how it ended.
+/// Whether a job is still open or how it ended.
 enum class job_phase { open, succeeded, failed, cancelled };
 
-/// "running", "succeeded" and so on, for logs and answers.
+/// The enumerator's name, such as "open" or "succeeded", as used in logs and API responses.
 const char* to_string(job_phase phase);
 
-/// What must outlive a coordinator about one task.
+/// The state of one task that is stored durably, so that the next coordinator can continue the
+/// task.
 struct task_progress {
     bool done = false;
-    /// Runs that ended badly. By number, since ends may be reported twice and, by a worker that was
-    /// cut off, after those of later runs. Bounded by the attempts that the job has.
+    /// Numbers of the runs that failed. Stored as numbers instead of a count because a worker may
+    /// report an end twice, and a worker that was disconnected may report it after the ends of
+    /// later runs. Holds at most `job_spec::attempts` entries.
     std::vector<run_number> failed_runs;
-    /// Resume from here; empty: from the start.
+    /// The checkpoint from which the next run resumes. If empty, it starts from the beginning.
     std::string checkpoint;
-    /// Of a lasting task: the worker to which its newest run was to go, recorded before the order
-    /// went out. No run can be on any other worker. Empty: none was ever ordered.
+    /// For service tasks only: the worker assigned to the newest run. It is recorded before the
+    /// start order is sent, so no other worker can have a run of the task. Empty if no start was
+    /// ever ordered.
     worker_id ordered_to;
 };
 
-/// One pass over the steps: tasks by step and index.
+/// The progress of one occurrence, that is, of one execution of all steps of a job. `steps` is
+/// indexed by step number, then by task index.
 struct occurrence_progress {
     std::vector<std::vector<task_progress>> steps;
 };
 
-/// How far a job is.
+/// The durable execution state of a job.
 struct job_progress {
-    /// A task has been started.
+    /// At least one task of the job has been started.
     bool begun = false;
     job_phase phase = job_phase::open;
-    /// Occurrences below this one have ended and are no longer kept.
+    /// Occurrences with a lower number have ended and are no longer stored.
     std::uint32_t occurrences_ended = 0;
     std::map<std::uint32_t, occurrence_progress> occurrences;
 };
--- a/include/figwinch/cell/job_spec.h
+++ b/include/figwinch/cell/job_spec.h
@@ -8,30 +8,33 @@
 
 namespace figwinch {
 
-/// A job as it was handed in, with what its queue promised then. Immutable once accepted.
+/// A job as submitted, with the settings that its queue had at that time. Immutable once accepted.
 struct job_spec {
     queue_name queue;
-    /// Handed to every task as it is.
+    /// Passed unchanged to every task.
     std::string payload;
     std::vector<step_spec> steps;
-    /// How often the steps run; 0: once, at once.
+    /// The number of occurrences (executions of all steps). 0 means one occurrence, due
+    /// immediately.
     std::uint32_t repeats = 0;
-    /// When the first occurrence is due and how far the next ones are apart, ms since 1970 and ms.
+    /// When the first occurrence is due, in ms since 1970, and the interval between occurrences.
     std::int64_t first_ms = 0;
     std::int64_t interval_ms = 0;
     service_id service;
-    /// 0 goes first.
+    /// Lower values are served first; 0 is the most urgent.
     std::uint32_t priority = 0;
-    /// Failed runs of one task after which the job has failed.
+    /// The job fails once any one of its tasks has had this many failed runs.
     std::uint32_t attempts = 1;
-    /// The objective: this many times the longest chain of work, and `target` more.
+    /// The job should finish within `stretch` times its critical path (the longest chain of
+    /// dependent steps, by estimated run times) plus `target`.
     double stretch = 1;
     duration target{};
-    /// When it came, by the wall clock of the host that took it; the epoch: not known.
+    /// When the job was accepted, by the wall clock of the host that accepted it. The default value
+    /// (1970) means unknown.
     wall_time accepted_at{};
 };
 
-/// Says what is wrong with the steps: `invalid_value` naming step and field, or nothing.
+/// Validates a job. Returns `invalid_value` with a message that names the offending step or field.
 absl::Status check_job(const job_spec& job);
 
 } // namespace figwinch
--- a/include/figwinch/cell/queue_name.h
+++ b/include/figwinch/cell/queue_name.h
@@ -6,10 +6,11 @@
 
 namespace figwinch {
 
-/// A queue of the configuration: where callers hand in jobs.
+/// Names a configured queue, to which callers submit jobs.
 using queue_name = strong_string<struct queue_tag>;
-/// Numbers the starts of tasks. A later start of a task always has a higher number, across
-/// coordinators too: the epoch stands in the high part (see `run_sequence`).
+/// Identifies a run, that is, one start of a task. A later start of the same task always has a
+/// higher number, even under a later coordinator, because the high bits hold the coordinator's
+/// epoch (see `run_sequence`).
 using run_number = strong_number<struct run_tag>;
 
 } // namespace figwinch
--- a/include/figwinch/cell/step_spec.h
+++ b/include/figwinch/cell/step_spec.h
@@ -8,39 +8,43 @@
 
 namespace figwinch {
 
-/// One step of a job: tasks that are alike. Plain value; checked by `check_job`.
+/// One step of a job: a set of identical tasks. Validated by `check_job`.
 struct step_spec {
-    /// Number of tasks, 1 or more.
+    /// The number of tasks, at least 1.
     std::uint32_t tasks = 0;
-    /// What one task takes.
+    /// The resources that one task requests.
     resources size;
-    /// The submitter's guess of one task's run time; often far off.
+    /// The submitter's estimate of the run time of one task. Often inaccurate.
     duration estimate{};
-    /// Numbers of earlier steps that must have ended well first.
+    /// Numbers of the earlier steps that must succeed before this step starts.
     std::vector<std::uint32_t> after;
-    /// All tasks start and end together.
+    /// Gang scheduling: all tasks of the step start and end together.
     bool gang = false;
-    /// A gang that wants one rack.
+    /// All members of the gang must be placed in the same rack.
     bool one_rack = false;
-    /// Tasks save their progress and can resume from it.
+    /// The tasks save checkpoints from which a later run can resume.
     bool checkpoints = false;
-    /// Several copies of one task may run at a time.
+    /// Several runs of one task may exist at the same time.
     bool copies_allowed = false;
-    /// Tasks run until the job is cancelled and are started again however they end.
+    /// The tasks are service tasks: they run until the job is cancelled and are restarted whenever
+    /// they end, whatever the reason.
     bool lasting = false;
-    /// The tasks' processors aren't counted: they live on what others leave.
+    /// The tasks are best-effort tasks: they use the CPU that other tasks leave idle, and their CPU
+    /// request isn't counted against the capacity of the worker.
     bool filling = false;
-    /// A label that the worker must carry; empty: any.
+    /// A label that the worker must have. Empty means any worker.
     std::string label;
-    /// The rack that holds the data; empty: none.
+    /// The rack that stores the input data; workers in it are preferred. Empty means no preference.
     rack_id near_rack;
-    /// Names what runs: tasks of one image behave alike.
+    /// Identifies the program that the tasks run. Tasks with the same image are expected to behave
+    /// alike.
     std::string image;
-    /// At most this many tasks of the step on one worker; 0: no bound.
+    /// The maximum number of tasks of this step on one worker. 0 means no limit.
     std::uint32_t most_per_worker = 0;
-    /// Bound of the response-time tail of a lasting task; 0: none.
+    /// The latency target of a service task: the upper bound for its tail latency. 0 means none.
     duration tail_target{};
-    /// How many tasks of a lasting step may be away at a time by our own doing.
+    /// The disruption budget of a service step: how many of its tasks the scheduler may have down
+    /// voluntarily at the same time.
     std::uint32_t may_miss = 0;
 };
 
--- a/include/figwinch/cell/task_name.h
+++ b/include/figwinch/cell/task_name.h
@@ -10,7 +10,8 @@
 
 namespace figwinch {
 
-/// Which task: job, occurrence, step and index in the step, all counted from 0.
+/// Identifies a task by its job, the occurrence, the step, and the index within the step. All
+/// numbers start at 0.
 struct task_name {
     job_id job;
     std::uint32_t occurrence = 0;
@@ -19,9 +20,9 @@
     friend auto operator<=>(const task_name&, const task_name&) = default;
 };
 
-/// "5c0e7a21d94b36f8.0.1.17", as workers know the task.
+/// The task name that is sent to workers, such as "5c0e7a21d94b36f8.0.1.17".
 std::string to_string(const task_name& name);
-/// Reads what `to_string` wrote. Returns nothing on bad input.
+/// Parses the format that `to_string` writes. Returns nothing for malformed input.
 std::optional<task_name> parse_task_name(std::string_view text);
 
 } // namespace figwinch
--- a/include/figwinch/cell/worker_advisor.h
+++ b/include/figwinch/cell/worker_advisor.h
@@ -9,38 +9,40 @@
 
 namespace figwinch {
 
-/// How long a queue's advisor takes and for how long its advice holds; from the configuration.
+/// The response times of a queue's advisor and the default validity of its answers, as configured.
 struct advice_terms {
-    /// For a call, and for each worker that it names.
+    /// The time that the advisor needs for one call, plus `each` for every worker named in the
+    /// call.
     duration decide{};
     duration each{};
-    /// From the answer.
+    /// For how long the tickets of an answer are valid, counted from the answer.
     duration valid{};
 };
 
-/// What an advisor said of the workers that it was asked about: those that may run the step. The
-/// others may not, now or later.
+/// An advisor's answer to a call about a set of workers: `good` lists those that may run the step.
+/// The other workers of the call may not run it, and this verdict is final.
 struct worker_advice {
     struct row {
         worker_id worker;
-        /// Carried by every start of the step on that worker.
+        /// The authorisation that every start order of the step to this worker must carry.
         std::string ticket;
     };
     std::vector<row> good;
-    /// As the answer has it; the terms' value when it has none.
+    /// The validity stated in the answer. If absent, `advice_terms::valid` applies.
     std::optional<duration> valid;
 };
 
-/// The port to the service that knows which workers may run a step of a queue whose policy allows
-/// only some. Answers one call at a time; calls back once, with nothing when there was no answer or
-/// too many were waiting. Implemented by platform/ and by fakes in tests.
+/// Client interface of the advisor, the external service that decides which workers may run a step
+/// of a queue with a restricted placement policy. Serves one call at a time. Invokes each handler
+/// exactly once, with nothing if the advisor didn't answer or too many calls were pending.
+/// Implemented in platform/ and by test fakes.
 class worker_advisor {
 public:
     using handler = std::function<void(const std::optional<worker_advice>&)>;
 
     virtual ~worker_advisor() = default;
-    /// `step` is named like a task without its index. `patience`: no answer after that is waited
-    /// for.
+    /// Asks which of `workers` may run `step`, which is formatted like a task name without the task
+    /// index. The call times out after `patience`.
     virtual void ask(const std::string& step, const std::vector<worker_id>& workers,
                      duration patience, handler done) = 0;
 };
--- a/include/figwinch/cell/worker_entry.h
+++ b/include/figwinch/cell/worker_entry.h
@@ -4,12 +4,12 @@
 
 namespace figwinch {
 
-/// What the log keeps of a worker that may have tasks. Part of `cell_state`.
+/// The durable record of a worker that may have tasks. Part of `cell_state`.
 struct worker_entry {
-    /// The life that got them, ms since 1970.
+    /// The incarnation of the worker that received the tasks: its start time in ms since 1970.
     std::uint64_t born_ms = 0;
-    /// Its lease isn't prolonged any more, because it doesn't answer: what runs there ends with the
-    /// lease that it had when this was written.
+    /// The worker is unresponsive, so the coordinator no longer renews its lease. All runs on it
+    /// end when the lease that was in effect at the time of this record expires.
     bool silent = false;
 };
 
--- a/include/figwinch/cell/worker_listing.h
+++ b/include/figwinch/cell/worker_listing.h
@@ -8,11 +8,11 @@
 
 namespace figwinch {
 
-/// A worker as the platform's list shows it. May lag by a second or two.
+/// A worker as shown in the platform's worker list, which may lag behind by one or two seconds.
 struct worker_listing {
     worker_id id;
-    /// When this life of the worker began, ms since 1970. Another number is another life, which
-    /// holds nothing of the earlier one.
+    /// Identifies the incarnation of the worker by its start time, in ms since 1970. A worker with
+    /// a different value has restarted and has none of the runs of the earlier incarnation.
     std::uint64_t born_ms = 0;
     service_id service;
     endpoint address;
@@ -21,7 +21,8 @@
     std::vector<std::string> labels;
     resources capacity;
     bool leaving = false;
-    /// How much longer the worker is slow after its start.
+    /// The remaining warm-up time: how much longer the worker is slower than normal after its
+    /// start.
     duration cold_left{};
 
     friend bool operator==(const worker_listing&, const worker_listing&) = default;
--- a/include/figwinch/cell/worker_marks.h
+++ b/include/figwinch/cell/worker_marks.h
@@ -9,14 +9,14 @@
 
 namespace figwinch {
 
-/// Workers to which a job's tasks may have been ordered, small enough to be written with each round
-/// of starts: 2 bytes a worker. Holds a 16-bit mark of each id, so that it may name a worker that
-/// was never added, and always names those that were.
+/// An approximate set of worker ids that stores a 16-bit fingerprint of each: lookups may give
+/// false positives but never false negatives. Records the workers to which tasks of a job may have
+/// been sent. At 2 bytes per worker it is small enough to be written with every round of starts.
 class worker_marks {
 public:
     void add(const worker_id& worker);
     bool may_have(const worker_id& worker) const;
-    /// Whether a worker may be in both.
+    /// Whether the two sets may have a worker in common. False positives are possible.
     bool meets(const worker_marks& other) const;
     bool empty() const { return marks_.empty(); }
 
@@ -26,7 +26,7 @@
     bool operator==(const worker_marks&) const = default;
 
 private:
-    /// In ascending order.
+    /// Sorted in ascending order, without duplicates.
     std::vector<std::uint16_t> marks_;
 };
 
--- a/include/figwinch/cell/worker_orders.h
+++ b/include/figwinch/cell/worker_orders.h
@@ -9,57 +9,62 @@
 
 namespace figwinch {
 
-/// What an order came to, as far as this side can prove.
+/// The outcome of an order to a worker, as far as the sender knows it.
 enum class order_outcome {
     done,
-    /// The worker knows a higher epoch: whoever sent the order is no longer the coordinator.
+    /// The worker has seen a higher epoch and rejected the order: its sender is no longer the
+    /// coordinator.
     superseded,
-    /// A start that can't take effect any more: its run or its time has passed.
+    /// A start that can no longer take effect, because the run has already ended or the start
+    /// deadline has passed.
     too_late,
-    /// A start that found no room.
+    /// A start that was rejected for lack of free resources.
     no_room,
-    /// A start whose ticket of an advisor is missing or has lapsed.
+    /// A start that was rejected because the advisor's ticket was missing or had expired.
     not_advised,
-    /// Refused for another reason; nothing was done.
+    /// Rejected for any other reason, without effect.
     refused,
-    /// Another life of the worker answered: nothing was done.
+    /// Answered by another incarnation of the worker than the order was meant for; without effect.
     other_life,
-    /// Not a byte left this process.
+    /// No byte of the order was sent.
     not_sent,
-    /// No whole answer: the worker may have done it or may do it later.
+    /// No complete answer was received: the worker may have executed the order, or may still do so.
     unknown,
 };
 
-/// "no_room" and so on, for logs.
+/// The enumerator's name, such as "no_room", as used in logs.
 const char* to_string(order_outcome outcome);
 
-/// An answer to an order that carries no report.
+/// The answer to a start, stop or pace order, none of which returns a report.
 struct order_answer {
     order_outcome outcome = order_outcome::unknown;
-    /// The worker's clock, when it said.
+    /// The worker's steady clock when it answered, in ms, if the answer has it.
     std::optional<std::int64_t> clock_ms{};
-    /// Whether another life of the worker than the one that was meant may have got the order.
+    /// The order may have reached another incarnation of the worker than it was meant for.
     bool may_reach_other_life = true;
 };
 
-/// An order to start one run.
+/// Orders a worker to start one run of a task.
 struct start_order {
     std::string task;
     run_number run;
     std::string payload;
     std::string checkpoint;
-    /// On the worker's clock: from then on the start has no effect, and the lease reaches to it.
+    /// The start deadline, on the worker's clock: the order has no effect if it arrives later. It
+    /// also extends the worker's lease up to this time.
     std::int64_t until_ms = 0;
     lease_epoch epoch;
-    /// Of the queue's advisor; empty where none is asked.
+    /// The ticket issued by the queue's advisor. Empty if the queue has no advisor.
     std::string ticket;
-    /// Asked before an order that had to wait is sent: if not, it ends as `not_sent`. Empty: it is.
+    /// Checked before sending an order that was delayed on the sender's side. If it returns false,
+    /// the order is dropped with the outcome `not_sent`. If empty, the order is always sent.
     std::function<bool()> still_wanted{};
-    /// The life of the worker that is meant, ms since 1970; 0: whichever gets the order.
+    /// The incarnation of the worker that the order is meant for: its start time in ms since 1970.
+    /// 0 means any incarnation.
     std::uint64_t born_ms = 0;
 };
 
-/// An order to let a run work at a share of its speed.
+/// Orders a worker to throttle the CPU of a run to `percent` of its full speed; 0 pauses the run.
 struct pace_order {
     std::string task;
     run_number run;
@@ -67,29 +72,31 @@
     lease_epoch epoch;
 };
 
-/// An order to prolong the lease of everything that runs on a worker and to report.
+/// Orders a worker to renew its lease, under which all its runs are held, and to send a report.
 struct hold_order {
-    /// On the worker's clock; nothing leaves the lease as it is.
+    /// The new end of the lease, on the worker's clock. If absent, the lease isn't renewed.
     std::optional<std::int64_t> until_ms;
-    /// Ends up to this number have been recorded and may be forgotten.
+    /// The ends of runs up to this number are stored durably; the worker may discard them.
     std::uint64_t noted = 0;
-    /// How long the worker may wait for an end before it answers.
+    /// Long polling: for how long the worker may delay its answer until a run ends.
     duration wait{};
     lease_epoch epoch;
-    /// Ends up to `seen` of the life `born_ms` are known and needn't be told again.
+    /// The ends of runs of the incarnation `born_ms` up to number `seen` have been received; the
+    /// report may leave them out.
     std::uint64_t seen = 0;
     std::uint64_t born_ms = 0;
-    /// The answer must name the tasks of all runs; else those may be left out that were ordered
-    /// or told before.
+    /// The report must have the task name of every run. Otherwise it may leave out the names of
+    /// runs that the worker was ordered to start or has reported before.
     bool names = false;
 };
 
-/// The port to the workers of a cell. Orders never block and call back once each; they aren't sent
-/// again by themselves. Implemented by platform/ and by fakes in tests.
+/// Client interface for orders to the workers of a cell. Calls don't block, invoke their handler
+/// exactly once and are not retried by the implementation. Implemented in platform/ and by test
+/// fakes.
 class worker_orders {
 public:
     using answer_handler = std::function<void(const order_answer&)>;
-    /// Gets nothing in `report` unless the outcome is `done`.
+    /// `report` is empty unless the outcome is `done`.
     using hold_handler = std::function<void(order_outcome, const worker_report& report)>;
 
     virtual ~worker_orders() = default;
@@ -100,7 +107,7 @@
     virtual void pace(const worker_listing& where, const pace_order& order,
                       answer_handler done) = 0;
     virtual void hold(const worker_listing& where, const hold_order& order, hold_handler done) = 0;
-    /// Closes what is open to a worker that has left.
+    /// Closes the connections to a worker that has left the cell.
     virtual void forget(const worker_id& worker) = 0;
 };
 
--- a/include/figwinch/cell/worker_report.h
+++ b/include/figwinch/cell/worker_report.h
@@ -8,37 +8,37 @@
 
 namespace figwinch {
 
-/// How a run ended, as its worker says.
+/// How a run ended, as reported by its worker.
 enum class run_end {
     done,
-    /// By its own fault or the worker's; counts against the job's attempts.
+    /// Failed because of the task or the worker. Counts against `job_spec::attempts`.
     failed,
-    /// On our order.
+    /// Stopped by order of the coordinator.
     stopped,
-    /// Its worker's lease ran out.
+    /// Ended because the worker's lease expired.
     lapsed,
-    /// Another member of its gang ended.
+    /// Ended because another member of its gang ended.
     broken,
-    /// It waited in vain for the other members of its gang.
+    /// Timed out while it waited for the other members of its gang to start.
     alone,
 };
 
-/// A run that a worker has.
+/// A run that exists on a worker.
 struct running_row {
-    /// May be empty where the answer needn't name it: `hold_order::names`.
+    /// The task name. May be empty if the report needn't have it; see `hold_order::names`.
     std::string task;
     run_number run;
     std::string checkpoint;
-    /// How far a task with an end is; 100 for a lasting one that is at work.
+    /// The progress of the task in percent. Always 100 for a service task that is running.
     int percent = 0;
-    /// Of a serving task the tail of its response times, ms; of others the processors in use,
-    /// thousandths of a core. Covers about the last half second.
+    /// For a service task with a latency target, its tail latency in ms; for other tasks, their CPU
+    /// usage in thousandths of a core. Covers about the last half second.
     std::int64_t recent = 0;
 };
 
-/// A run that has ended and that the worker keeps until it was noted.
+/// The end of a run. The worker keeps it until the coordinator has acknowledged that it is stored.
 struct ended_row {
-    /// Counts the ends of one life of the worker.
+    /// The sequence number of the end within one incarnation of the worker.
     std::uint64_t number = 0;
     std::string task;
     run_number run;
@@ -46,9 +46,10 @@
     std::string checkpoint;
 };
 
-/// A worker's answer to a hold: what it runs and what ended there.
+/// A worker's answer to a lease renewal: its runs, and the ends of runs that haven't been
+/// acknowledged.
 struct worker_report {
-    /// The worker's own steady clock when it answered.
+    /// The worker's steady clock when it answered, in ms.
     std::int64_t clock_ms = 0;
     std::uint64_t born_ms = 0;
     std::vector<running_row> running;
--- a/src/cell/job_outlook.cpp
+++ b/src/cell/job_outlook.cpp
@@ -6,12 +6,13 @@
 namespace figwinch {
 namespace {
 
-// After so many times its objective a job is of no use to its callers.
+// A job that takes longer than this many times its objective is of no use to its caller any more.
 constexpr int useful_objectives = 3;
 constexpr int whole = 100;
 constexpr std::size_t least_samples = 3;
 
-/// The middle of what its own tasks took, or the submitter's guess.
+/// The median run time of the step's finished tasks, or the submitter's estimate while there are
+/// too few of them.
 duration expected_time(const step_work& step) {
     if (step.whole_times.size() < least_samples)
         return step.spec->estimate;
@@ -21,7 +22,7 @@
     return *middle;
 }
 
-/// What the tasks of a step still take when all of them have a worker at once.
+/// The remaining run time of a step, on the assumption that all of its tasks run in parallel.
 duration time_left(const step_work& step, duration expected) {
     if (step.left == 0)
         return duration::zero();
--- a/src/cell/job_outlook.h
+++ b/src/cell/job_outlook.h
@@ -4,18 +4,19 @@
 
 namespace figwinch {
 
-/// What is left of an open job, and whether that can still be in time.
+/// The remaining work of an open job, and whether the job can still meet its time objective.
 struct job_outlook {
     job_prospect prospect = job_prospect::in_time;
-    /// Processor time, core-seconds.
+    /// The estimated remaining CPU time, in core-seconds.
     double work_left = 0;
 };
 
 job_outlook outlook_of(const job_work& job, instant now);
 
-/// Whether `one` is served before `other`: by priority, then by whether they can be in time, then
-/// the one with less work left. Under overload an order of arrival makes everybody late, and the
-/// nearest objective first spends most on jobs that just miss it.
+/// Whether `one` is served before `other`. Orders jobs by priority, then by prospect (in time,
+/// late, lost), then by the remaining work, least first. Under overload, first-come first-served
+/// would make all jobs late, and earliest-deadline-first would spend most capacity on jobs that
+/// narrowly miss their deadline.
 bool is_served_before(const job_work& one, const job_work& other);
 
 } // namespace figwinch
--- a/src/cell/job_spec.cpp
+++ b/src/cell/job_spec.cpp
@@ -5,8 +5,8 @@
 namespace figwinch {
 namespace {
 
-// Bounds that keep one job from taking the memory of a host. The largest real steps have some
-// dozens of tasks.
+// Limits that keep a single job from exhausting a host's memory. The largest steps in practice have
+// a few dozen tasks.
 constexpr std::size_t most_steps = 100;
 constexpr std::uint32_t most_tasks = 10'000;
 constexpr std::size_t longest_payload = 4'000;
@@ -20,12 +20,12 @@
 
 absl::Status check_step(const step_spec& step, std::size_t number) {
     if (step.tasks == 0 || step.tasks > most_tasks)
-        return bad(number, "the number of tasks is not 1 to 10000");
+        return bad(number, "the number of tasks must be 1 to 10000");
     if (any_negative(step.size))
-        return bad(number, "a resource is below 0");
+        return bad(number, "a resource request is negative");
     for (const std::uint32_t earlier : step.after)
         if (earlier >= number)
-            return bad(number, "depends on a step that isn't an earlier one");
+            return bad(number, "a dependency doesn't refer to an earlier step");
     return absl::OkStatus();
 }
 
@@ -33,13 +33,13 @@
 
 absl::Status check_job(const job_spec& job) {
     if (job.steps.empty() || job.steps.size() > most_steps)
-        return make_error(result_code::invalid_value, "a job has 1 to 100 steps");
+        return make_error(result_code::invalid_value, "the number of steps must be 1 to 100");
     if (job.payload.size() > longest_payload)
         return make_error(result_code::invalid_value, "the payload is longer than 4000 bytes");
     if (job.repeats > most_repeats)
-        return make_error(result_code::invalid_value, "more than 1000000 repeats");
+        return make_error(result_code::invalid_value, "the repeat count is greater than 1000000");
     if (job.repeats > 0 && job.interval_ms < 0)
-        return make_error(result_code::invalid_value, "the interval is below 0 ms");
+        return make_error(result_code::invalid_value, "the interval between repeats is negative");
     for (std::size_t number = 0; number < job.steps.size(); ++number)
         if (absl::Status checked = check_step(job.steps[number], number); !checked.ok())
             return checked;
--- a/src/cell/sharing_control.cpp
+++ b/src/cell/sharing_control.cpp
@@ -7,21 +7,25 @@
 namespace figwinch {
 namespace {
 
-// The promise to serving tasks breaks after some seconds over target on end, and each of them costs
-// their users.
+// For how long a serving task may be over its latency target until the suspected best-effort tasks
+// are paused, and until all of them are. The service-level objective is violated after a few
+// consecutive seconds over the target, and the task's users notice each of those seconds.
 constexpr duration suspicious_over = std::chrono::milliseconds(1000);
 constexpr duration longest_over = std::chrono::milliseconds(2200);
 constexpr duration stand_still = std::chrono::milliseconds(1200);
-// Tails are averaged over two or three reports, which leaves half of their roughness.
+// Time constant of the moving average of tail latencies. It covers two or three reports, which
+// halves their noise.
 constexpr double tail_memory_s = 0.6;
-// What is left of it: a tail that seems this little (a logarithm) under its target may be over.
+// Margin for the noise that remains in the average: a tail latency whose log ratio to the target is
+// above this value may in fact be over the target.
 constexpr double doubtful_log_ratio = -0.03;
-// The share of the target that tails are steered to.
+// The set point of the control, as a multiple of the latency target.
 constexpr double aim = 1.0;
-// Beside a serving task that stays over its target, whose slowdown is at least this stands still.
+// A best-effort task is suspected, and paused while a serving task stays over its latency target,
+// if the pair's slowdown (a logarithm) is at least this.
 constexpr double suspicious_slowdown = 0.3;
 constexpr int full = 100;
-// Below this a task might as well stand still.
+// Speeds below this percentage are rounded down to 0, since the task would hardly progress.
 constexpr int slowest = 10;
 constexpr int step = 10;
 
@@ -38,8 +42,8 @@
     return percent < slowest ? 0 : std::clamp(percent, 0, full);
 }
 
-/// Slows the neighbours of one serving task until their slowdowns are within its headroom, those
-/// first that cost it most for what they get done.
+/// Throttles the best-effort neighbours of one serving task until the slowdown that they cause is
+/// within its headroom, beginning with those that cause the most slowdown per core.
 void slow_for(const slowdown_model& model, const serving_view& served,
               std::vector<filling_view>& filling) {
     std::vector<std::size_t> order(filling.size());
@@ -68,9 +72,10 @@
 
 } // namespace
 
-/// For how long a task may have been over its target. Counted by the average of its last reports:
-/// tails are steered to the target, where one report in three of a task that is over it says that
-/// it isn't, and each of these would begin the count anew.
+/// For how long serving tasks have been over their latency targets. Uses the average of the last
+/// reports instead of single ones: near the target, to which the control steers, one report in
+/// three of a task that is over its target shows it below, and each of these would restart the
+/// count.
 duration sharing_control::time_over(const std::vector<serving_view>& serving, instant now) {
     for (const serving_view& served : serving)
         take_report(served, now);
--- a/src/cell/sharing_control.h
+++ b/src/cell/sharing_control.h
@@ -7,45 +7,48 @@
 
 namespace figwinch {
 
-/// The tail of one serving task over its last reports, each of which is rough.
+/// The tail latency of one serving task, smoothed over its last reports because single reports are
+/// noisy.
 struct tail_estimate {
-    /// log(tail / target).
+    /// log(tail latency / latency target).
     double log_ratio = -1;
     instant reported_at{};
 };
 
-/// A serving task as its worker reported it.
+/// The state of a serving task (a service task with a latency target) in its worker's last report.
 struct serving_view {
     image_number image = 0;
-    /// tail / target.
+    /// Tail latency / latency target.
     double tail_ratio = 0;
-    /// What is known of its own load; kept with the task's run.
+    /// The estimate of the task's own load. Owned by the task's run.
     load_estimate* load = nullptr;
-    /// Over its last reports; kept with the task's run.
+    /// The smoothed tail latency. Owned by the task's run.
     tail_estimate* tail = nullptr;
 };
 
-/// A filling task beside it. Shares are of the worker's processors.
+/// A best-effort task on the same worker as the serving tasks.
 struct filling_view {
     image_number image = 0;
+    /// The share of the worker's CPU that the task uses when it isn't throttled.
     double full_share = 0;
-    /// Decided: at which percentage of its speed it may work.
+    /// Output of `sharing_control::decide`: the speed to which the task is throttled, in percent.
     int percent = 100;
 };
 
-/// Decides for one worker at which speed its filling tasks may work. Each serving task has headroom
-/// by its own load of the moment; the neighbours that slow it most per processor are slowed first,
-/// just enough. When a target is missed all the same for a second, every neighbour that may matter
-/// stands still, and after another second all of them.
+/// Throttles the best-effort tasks of one worker so that its serving tasks meet their latency
+/// targets. The current load of a serving task determines how much slowdown by neighbours it can
+/// tolerate. Best-effort tasks are throttled just enough to stay within that, beginning with those
+/// that cause the most slowdown per core. If a target is missed nevertheless for a second, every
+/// best-effort task that may be the cause is paused, and after another second all of them.
 class sharing_control {
 public:
-    /// Sets `percent` of each of `filling`.
+    /// Sets `percent` of each element of `filling`.
     void decide(const slowdown_model& model, const std::vector<serving_view>& serving,
                 std::vector<filling_view>& filling, instant now);
 
-    /// Whether one more filling task may start beside the serving tasks: none of them was over its
-    /// target in the last report, and no neighbour stands still for one. A new task works at full
-    /// speed until its first report.
+    /// Whether another best-effort task may start on the worker: no serving task was over its
+    /// latency target in the last report, and no best-effort task is paused on behalf of one. This
+    /// check is needed because a new task runs at full speed until its first report.
     bool admits_filling(instant now) const {
         return !is_over_ && now >= suspects_stopped_until_ && now >= all_stopped_until_;
     }
--- a/src/cell/slowdown_model.cpp
+++ b/src/cell/slowdown_model.cpp
@@ -9,38 +9,42 @@
 namespace {
 
 constexpr std::size_t most_images = 64;
-// Of a pair and of an image that nothing is known of: an eighth of a worker costs a tenth more
-// utilisation. High enough to try such pairs singly, low enough to try them at all.
+// Prior slowdown of pairs and images without observations: an eighth of a worker's CPU raises the
+// utilisation of the serving task by about a tenth. High enough that such pairs are tried one at a
+// time, and low enough that they are tried at all.
 constexpr double unknown_slowdown = 1.0;
 constexpr double unknown_slowdown_variance = 4.0;
 constexpr double greatest_slowdown = 12.0;
-// From here on a neighbour is kept away, however much greater its slowdown is.
+// Differences above this slowdown don't matter, because placement avoids such a neighbour anyway.
 constexpr double clear_slowdown = 3.0;
-// A pair's variance never falls below this, so that a pair that changes is followed.
+// Lower bound for the variance of a pair, so that the filter can follow later changes.
 constexpr double least_slowdown_variance = 0.04;
-// Errors of reports that follow each other are alike, as the own load that causes them is: each
-// tells less of a pair than one that stands by itself would.
+// Errors of consecutive reports are correlated, because they are caused by the task's own load,
+// which varies slowly. Each report therefore carries less information about a pair than an
+// independent observation would, and reduces its variance by this part only.
 constexpr double news_per_report = 0.3;
-// Services are sized to be a little under half busy.
+// Prior for the mean load: services are usually sized for a utilisation of a little under one half.
 constexpr double unknown_mean_log_load = -0.87;
 constexpr double unknown_mean_variance = 0.01;
 constexpr double least_mean_variance = 1e-5;
-// A service's own load swings by a half around its mean, in about 15 s: variance of its logarithm,
-// and how long a deviation lasts.
+// The own load of a service varies by half of its mean with a period of about 15 s. The variance of
+// its logarithm, and the time constant with which a deviation from the mean decays.
 constexpr double load_variance = 0.1225;
 constexpr double load_memory_s = 6.0;
-// Reports are rough by an eighth of the tail, and cover half a second in which the mix changes.
+// The relative error of reported tail latencies is about an eighth. In addition, a report covers
+// half a second, within which the mix of neighbours changes.
 constexpr double tail_noise = 0.12;
 constexpr double mix_variance = 0.0049;
-// The quantile of tails that the unloaded tail is taken from, and what it is of it: a service that
-// is a fifth busy, which is where its swing has it then.
+// The unloaded tail latency is derived from a low quantile of the observed ones: at the low point
+// of its load a service is still about a fifth busy, so the unloaded tail is this part of the
+// quantile.
 constexpr double low_quantile = 0.05;
 constexpr double unloaded_of_low = 0.78;
 constexpr double unknown_low_log_ratio = -1.35;
 constexpr double first_quantile_step = 0.2;
 constexpr double last_quantile_step = 0.002;
 constexpr double quantile_step_decay = 0.02;
-// Utilisations that a tail can tell apart.
+// The range in which the utilisation can be derived from the tail latency.
 constexpr double least_utilisation = 0.08;
 constexpr double greatest_utilisation = 0.985;
 
@@ -56,7 +60,7 @@
     return std::exp(low_log_ratio) * unloaded_of_low;
 }
 
-/// Lets an estimate fade to the image's mean for the time since the last report.
+/// Lets a load estimate decay towards the image's mean for the time since the last report.
 void fade(load_estimate& own, instant now) {
     if (own.reported_at == instant{}) {
         own.variance = load_variance;
@@ -144,7 +148,8 @@
     const filling_column& column = columns_[filling];
     if (pair.known || column.known == 0)
         return pair.slowdown;
-    // One more of an unknown kind keeps a single known pair from deciding all others.
+    // The prior is averaged in as one more sample, so that a single observed pair doesn't determine
+    // the expectation for all others.
     return (column.sum + unknown_slowdown) / (column.known + 1);
 }
 
@@ -181,7 +186,7 @@
         if (columns_[filling].known == 0)
             continue;
         ++compared;
-        // What isn't known of both may differ as much as any.
+        // Unless both pairs have been observed, assume the maximum difference.
         sum += first.known && second.known ? std::abs(std::min(first.slowdown, clear_slowdown) -
                                                       std::min(second.slowdown, clear_slowdown))
                                            : clear_slowdown;
--- a/src/cell/slowdown_model.h
+++ b/src/cell/slowdown_model.h
@@ -11,60 +11,66 @@
 
 namespace figwinch {
 
-/// Numbers an image for the tables of this library; small and dense.
+/// A small dense index that identifies an image in the tables of this library.
 using image_number = std::size_t;
 
-/// Work of one filling image beside a serving task, as a share of the worker's processors.
+/// The CPU usage of one best-effort image next to a serving task, as a share of the worker's CPU.
 struct image_share {
     image_number image = 0;
     double share = 0;
 };
 
-/// What is known of the utilisation that one serving task's own users cause. It swings in seconds,
-/// each task by itself.
+/// The estimated utilisation of one serving task by its own users' requests. It varies within
+/// seconds and independently for each task.
 struct load_estimate {
-    /// log(utilisation), against the mean of the task's image.
+    /// log(utilisation) minus the mean of the task's image.
     double deviation = 0;
     double variance = 0;
-    /// Of the newest report; the begin of time: none yet.
+    /// The time of the newest report. The default value means that there was none yet.
     instant reported_at{};
 };
 
-/// Learns how much each filling image slows each serving image.
+/// Learns by how much each best-effort image slows down each serving image on the same worker.
 ///
-/// A serving task is taken as a queue with one server: its tail is `unloaded / (1 - utilisation)`,
-/// and neighbours multiply its utilisation by the exponential of the sum of slowdown x share over
-/// the filling images beside it. So the tail that a neighbour causes hangs on how busy the task is
-/// just then, but the slowdown of a pair of images doesn't: it is learned in seconds and holds.
-/// A Kalman filter with independent terms: the own load of each task (`load_estimate`, kept by the
-/// caller), the mean load of each serving image, and the slowdown of each pair. Images that nothing
-/// is known of beside one serving image count as what they are beside the others.
+/// Models a serving task as a single-server queue: its tail latency is `unloaded / (1 -
+/// utilisation)`, and its neighbours multiply the utilisation by the exponential of the sum of
+/// slowdown x CPU share over all best-effort images next to it. Thus the effect of a neighbour on
+/// the tail latency depends on the task's current utilisation, but the slowdown of a pair of images
+/// doesn't, so that it can be learned in seconds and remains valid.
 ///
-/// Slowdowns are logarithms for a whole worker of the filling image, never below 0. Owned by the
-/// coordinator, which records the table for its successors.
+/// The estimator is a Kalman filter with independent terms: each task's own load (`load_estimate`,
+/// owned by the caller), the mean load of each serving image, and the slowdown of each pair. A pair
+/// without observations is assumed to have the mean slowdown of the best-effort image over the
+/// pairs that have been observed.
+///
+/// A slowdown is a logarithm, at least 0, and refers to a best-effort image that uses the whole
+/// worker. Owned by the coordinator, which stores the table in the log for its successors.
 class slowdown_model {
 public:
-    /// The number of an image; all images beyond a bound share one.
+    /// Returns the number of an image and assigns one if necessary. When the maximum number of
+    /// images is reached, all further images share the last number.
     image_number number(const std::string& image);
 
-    /// One report of a serving task: tail / target, with what filled beside it meanwhile.
+    /// Updates the model with one report of a serving task: its ratio of tail latency to latency
+    /// target, and the best-effort images that ran next to it at that time.
     void learn(image_number serving, double tail_ratio, std::span<const image_share> beside,
                load_estimate& own, instant now);
 
     double slowdown(image_number serving, image_number filling) const;
     double slowdown_of(image_number serving, std::span<const image_share> beside) const;
-    /// How much slowdown (a logarithm) leaves the tail of a task at `aim` of its target, when its
-    /// own load is what is estimated.
+    /// The total slowdown (a logarithm) at which the tail latency of a task reaches `aim` times its
+    /// target, given the estimate of its own load.
     double headroom(image_number serving, const load_estimate& own, double aim) const;
-    /// The same for a task of which only the image is known, at `above_mean` more than the mean
-    /// load (a logarithm).
+    /// Like `headroom`, for a task of which only the image is known, at a load of `above_mean` (a
+    /// logarithm) above the mean of that image.
     double usual_headroom(image_number serving, double above_mean, double aim) const;
 
-    /// How differently two serving images are slowed, 0 to 1: on a worker that both share a filling
-    /// image has to spare the more sensitive one.
+    /// How much two serving images differ in their sensitivity to best-effort images, from 0 to 1.
+    /// On a worker that runs both, best-effort tasks must be throttled for the more sensitive one.
     double difference(image_number one, image_number other) const;
 
-    /// The table as a record, and back. What can't be read leaves the table as it is.
+    /// Serialises the table, and merges a serialised table into this one. `restore` ignores
+    /// malformed records and values.
     std::string encode() const;
     void restore(std::string_view record);
 
@@ -77,12 +83,13 @@
     struct serving_row {
         double mean_log_load = 0;
         double mean_variance = 0;
-        /// log of a low quantile of tail / target, from which the unloaded tail follows.
+        /// The log of a low quantile of tail latency / latency target, from which the tail latency
+        /// of the unloaded task is derived.
         double low_log_ratio = 0;
         std::uint32_t reports = 0;
         std::vector<pair_estimate> pairs;
     };
-    /// Over the known pairs of one filling image.
+    /// The sum and number of the observed slowdowns of one best-effort image.
     struct filling_column {
         double sum = 0;
         int known = 0;
--- a/src/cell/step_advice.cpp
+++ b/src/cell/step_advice.cpp
@@ -3,7 +3,7 @@
 namespace figwinch {
 namespace {
 
-// A ticket isn't used in its last moments: the order has to arrive in time.
+// A ticket isn't used this shortly before it expires, because the order must arrive before that.
 constexpr duration ticket_margin = std::chrono::milliseconds(250);
 
 } // namespace
--- a/src/cell/step_advice.h
+++ b/src/cell/step_advice.h
@@ -6,22 +6,27 @@
 
 namespace figwinch {
 
-/// What is known of the workers that may run one step: verdicts, which stand, and tickets, which
-/// lapse and which a worker's next life doesn't know. Owned by its step; lost with the reign, since
-/// a successor can ask again.
+/// The advisor's answers for one step: per worker, the verdict whether it may run the step, which
+/// is final, and a ticket, which expires and is not known to later incarnations of the worker.
+/// Owned by the step. Not stored in the log, because the next coordinator can ask the advisor
+/// again.
 class step_advice {
 public:
-    /// Takes an answer to a call about `asked` that was sent at `sent`: a ticket may have been
-    /// issued as early as that.
+    /// Applies the answer to a call about the workers in `asked`. The validity of the tickets
+    /// counts from `sent`, when the call was sent, since they may have been issued as early as
+    /// that.
     void take(const std::vector<worker_id>& asked, const worker_advice& advice,
               duration usual_validity, instant sent);
-    /// A ticket that still holds when an order with it arrives; nothing when there is none.
+    /// Returns a ticket that will still be valid when an order sent now arrives, or null if there
+    /// is none.
     const std::string* ticket(const worker_id& worker, std::uint64_t born_ms, instant now) const;
-    /// Remembers for which life of the worker a ticket is used first.
+    /// Binds the ticket to the incarnation of the worker for which it is used first. Has no effect
+    /// if it is bound already.
     void bind_life(const worker_id& worker, std::uint64_t born_ms);
-    /// The worker didn't take its ticket.
+    /// Discards the ticket after the worker has rejected it.
     void drop_ticket(const worker_id& worker);
-    /// Whether it makes sense to ask about a worker: it hasn't been refused, and has no ticket.
+    /// Whether the advisor should be asked about a worker: the worker hasn't been ruled out and
+    /// there is no valid ticket for it.
     bool is_open(const worker_id& worker, std::uint64_t born_ms, instant now) const;
     bool is_good(const worker_id& worker) const;
 
@@ -30,7 +35,7 @@
         bool good = false;
         std::string ticket;
         instant valid_until{};
-        /// 0 until a life is bound.
+        /// The incarnation of the worker that the ticket is bound to; 0 if it isn't bound yet.
         std::uint64_t born_ms = 0;
     };
     absl::flat_hash_map<worker_id, verdict> verdicts_;
--- a/src/cell/straggler.cpp
+++ b/src/cell/straggler.cpp
@@ -6,29 +6,32 @@
 namespace {
 
 constexpr int whole = 100;
-// Reports are up to a second apart; one may be lost.
+// The interval between reports is up to a second, and one report may be lost.
 constexpr duration least_unchanged = std::chrono::milliseconds(2200);
-// Of a percent's usual time; a slow worker takes up to 8 times as long, one that hangs for ever.
+// A run is stalled if its percentage hasn't changed for this many times the average duration of one
+// percent. On a slow worker a percent takes up to 8 times as long; on a hanging one it never ends.
 constexpr int percents_still = 12;
-// Without any progress nothing but the guess tells, which may be ten times too low.
+// A run without any progress is stalled after this fraction (1/n) of the submitter's estimate,
+// which is the only indication there is and may be ten times too low.
 constexpr int estimate_part = 4;
-// From there on a run tells how long it will take.
+// From this percentage on, the total duration of a run can be projected from its progress.
 constexpr int telling_percent = 30;
 constexpr std::size_t least_samples = 3;
-// Durations of one step's tasks differ by a third; beyond this factor it is the worker.
+// The durations of a step's tasks vary by a third. If one takes longer than this factor times the
+// median, the worker is the cause.
 constexpr double clear_factor = 1.8;
-// By how much sooner it has to be done elsewhere.
+// The minimum ratio of the remaining time here to the time that a restart elsewhere would take.
 constexpr double clear_gain = 1.3;
-// Stopping, starting and the way of both.
+// The time for stopping the run and starting the new one, including the delivery of both orders.
 constexpr duration moving = std::chrono::milliseconds(600);
-// What a run that saves its progress may lose.
+// The work since the last checkpoint that a run may lose when it is moved.
 constexpr duration unsaved = std::chrono::seconds(1);
 
 duration scaled(duration span, double factor) {
     return std::chrono::duration_cast<duration>(span * factor);
 }
 
-/// What a whole run takes at the rate so far.
+/// The projected total duration of a run at its average rate so far.
 duration whole_time(const run_progress& run) {
     return run.worked * whole / std::max(run.percent, 1);
 }
--- a/src/cell/straggler.h
+++ b/src/cell/straggler.h
@@ -7,27 +7,30 @@
 
 namespace figwinch {
 
-/// How a run gets on. Times count only while it may work: at half its pace an hour is half an hour.
+/// The progress of a run. Its times are scaled by the speed to which the run is throttled: an hour
+/// at half speed counts as half an hour.
 struct run_progress {
     duration worked{};
-    /// Since the percentage last changed.
+    /// The part of `worked` since the percentage last changed.
     duration unchanged{};
     int percent = 0;
-    /// The submitter's guess of the whole time, often far off.
+    /// The submitter's estimate of the total run time. Often inaccurate.
     duration estimate{};
 };
 
-/// Whether a run stands still: its percentage hasn't changed for much longer than one percent has
-/// taken so far, and for longer than reports are apart.
+/// Whether a run is stalled: its percentage hasn't changed for much longer than one percent has
+/// taken on average so far, and for longer than the interval between reports.
 bool stands_still(const run_progress& run);
 
-/// What a whole run of a step usually takes, from runs that ended well and those that are far
-/// enough to tell; nothing from too few.
+/// The median run time of a step's tasks, from the durations of successful runs (`ended`) and the
+/// projected durations of those that have progressed far enough. Nothing if there are too few
+/// samples.
 std::optional<duration> usual_time(std::vector<duration> ended,
                                    const std::vector<run_progress>& running);
 
-/// Whether a run that goes on here would be done sooner if it began anew elsewhere, by a clear
-/// margin. `saves`: it goes on from where it is, but for a second's work.
+/// Whether a run is so slow that the task would finish clearly sooner if it were restarted on
+/// another worker. `saves`: the task saves checkpoints, so that a restart loses only about a second
+/// of work.
 bool is_straggler(const run_progress& run, duration usual, bool saves);
 
 } // namespace figwinch
--- a/src/cell/worker_clock.cpp
+++ b/src/cell/worker_clock.cpp
@@ -14,7 +14,7 @@
 
 void worker_clock::observe(std::int64_t clock_ms, instant received) {
     const std::optional<std::int64_t> known = at_least(received);
-    // An answer that was overtaken on its way says less than is known already.
+    // Ignore answers that arrive out of order: a later one has already given a better bound.
     if (known && *known >= clock_ms)
         return;
     clock_ms_ = clock_ms;
--- a/src/cell/worker_clock.h
+++ b/src/cell/worker_clock.h
@@ -7,14 +7,14 @@
 
 namespace figwinch {
 
-/// What can be said of a worker's own steady clock, from the times that its answers carry. One for
-/// each life of a worker.
+/// Estimates a lower bound of a worker's steady clock from the timestamps in its answers. One
+/// instance per incarnation of a worker.
 class worker_clock {
 public:
-    /// The worker's clock stood at `clock_ms` or later when an answer was received.
+    /// Records that the worker's clock was at `clock_ms` or later when an answer was received.
     void observe(std::int64_t clock_ms, instant received);
-    /// A time that the worker's clock has reached by `now` for certain, even when it is the slowest
-    /// that is allowed. Nothing before the first answer.
+    /// A time that the worker's clock has certainly reached by `now`, even if it runs as slowly as
+    /// `slowest_clock` permits. Nothing before the first answer.
     std::optional<std::int64_t> at_least(instant now) const;
 
 private:
