--- a/tests/cell/cell_advice_test.cpp
+++ b/tests/cell/cell_advice_test.cpp
@@ -9,8 +9,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Queues whose policy lets only some workers run a step: the simulated workers take a start only
-/// with a ticket that was issued to them and still holds.
+/// Tests queues with a restricted placement policy, whose advisor decides which workers may run a
+/// step. The simulated workers accept a start order only with a valid ticket that was issued for
+/// them.
 class cell_advice_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(cell_advice_test);
     CPPUNIT_TEST(a_step_runs_where_the_policy_allows);
@@ -56,8 +57,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, policy().calls);
         kept_the_rules();
     }
-    /// Story: twelve tasks fill the one good worker three times over, so that the last ones start
-    /// after the ticket has lapsed.
+    /// Guards against starts with an expired ticket. Twelve tasks need three rounds on the only
+    /// allowed worker, so that the last ones start after the first ticket has expired.
     void tickets_that_lapsed_are_asked_for_again() {
         begin({"w2"});
         world_.watch().long_tasks = true;
@@ -67,8 +68,8 @@
         CPPUNIT_ASSERT(policy().calls >= 2);
         kept_the_rules();
     }
-    /// Story: the advisor hangs. Its queue waits; other queues' jobs of the same hosts run on, and
-    /// the waiting job runs once the advisor is back.
+    /// Guards against an unresponsive advisor that blocks the jobs of other queues. Jobs of its own
+    /// queue must wait and run once the advisor answers again.
     void a_silent_advisor_delays_only_its_own_queue() {
         begin({"w1"});
         policy().silent = true;
@@ -86,7 +87,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("adv-a"));
         kept_the_rules();
     }
-    /// Story: a worker crashed and doesn't know the ticket any more.
+    /// Guards against a task that waits forever after its worker has crashed and lost the ticket.
     void a_worker_that_refuses_its_ticket_is_asked_about_again() {
         begin({"w1"});
         world_.submit(0, "adv-a", advised(6, 2000));
--- a/tests/cell/cell_world.h
+++ b/tests/cell/cell_world.h
@@ -9,12 +9,13 @@
 
 namespace figwinch::sim {
 
-/// A cell in simulated time: a store, workers, hosts, and a watch that knows the rules. Everything
-/// is drawn from one seed.
+/// A simulated cell for tests: the store, the workers, the hosts, and a checker of the scheduler's
+/// invariants. Runs in simulated time and takes all random choices from one seed.
 class cell_world {
 public:
-    /// `linked`: hosts pass on orders of the coordinator, which itself carries no worker. `strong`:
-    /// how many of the hosts have more than a small share of a core.
+    /// `linked`: the other hosts relay the coordinator's orders to the workers. `strong`: the
+    /// number of hosts with a whole core; the others have a small share of one and serve fewer
+    /// workers.
     cell_world(std::uint64_t seed, std::size_t hosts, std::size_t workers,
                const cell_settings& settings = {}, bool linked = false,
                std::optional<std::size_t> strong = {})
@@ -31,7 +32,7 @@
     sim_time& time() { return time_; }
     sim_store& store() { return store_; }
     sim_fleet& fleet() { return fleet_; }
-    /// Cuts a host off from the others, or joins it to them again.
+    /// Disconnects a host from the other hosts, or reconnects it.
     void cut_from_peers(std::size_t host, bool cut) { peers_.cut(address_of(host), cut); }
     rule_watch& watch() { return watch_; }
     sim_host* host(std::size_t index) { return hosts_.at(index).get(); }
@@ -55,10 +56,10 @@
             coordinator_killed_at_ = time_.now();
         hosts_[index].reset();
     }
-    /// When the process that coordinated, or one of those that could have begun to, was killed
-    /// last.
+    /// When a host was last killed that was the coordinator, or that might have become it because
+    /// there was none.
     instant coordinator_killed_at() const { return coordinator_killed_at_; }
-    /// The host that coordinates, or nothing.
+    /// The index of the host that is the coordinator and has finished taking over, if any.
     std::optional<std::size_t> coordinator() const {
         for (std::size_t index = 0; index < hosts_.size(); ++index)
             if (hosts_[index] && hosts_[index]->member().coordinating() != nullptr &&
@@ -67,7 +68,7 @@
         return std::nullopt;
     }
 
-    /// Of the hosts that think that they coordinate, the one whose claim is the newest.
+    /// Of the hosts that consider themselves the leader, the one with the highest epoch, if any.
     std::optional<std::size_t> acting() const {
         std::optional<std::size_t> newest;
         for (std::size_t index = 0; index < hosts_.size(); ++index) {
@@ -97,14 +98,14 @@
         store_.append(cell_stream::workers, {{name, std::nullopt, 0}}, {});
     }
 
-    /// Whether the list names it as one that takes work.
+    /// Whether the platform's worker list shows the worker as ready for work.
     bool is_listed_ready(const std::string& name) {
         const auto& newest = store_.of(cell_stream::workers).newest;
         const auto row = newest.find(name);
         return row != newest.end() && row->second.value == "ready";
     }
 
-    /// Hands a job in through a host; tells what the caller was told.
+    /// Submits a job through a host. The result is set when the host has answered the caller.
     std::shared_ptr<std::optional<intake_outcome>> submit(std::size_t host, const std::string& id,
                                                           const job_spec& spec) {
         watch_.jobs[id] = {spec, std::nullopt};
@@ -114,11 +115,11 @@
         const auto told = write(host, {{record_key(record_kind::cancellation, id), "1", 0}});
         watch_cancel(id, told);
     }
-    /// What a host that keeps a copy has of a job.
+    /// The entry of a job on a host that is a read replica, or null.
     const job_entry* job(std::size_t host, const std::string& id) {
         return hosts_.at(host)->member().state().find(job_id(id));
     }
-    /// What a host that keeps no copy tells a caller who waits for 3 s.
+    /// The answer of a host that is no read replica to a caller with a timeout of 3 s.
     std::optional<job_entry> ask(std::size_t host, const std::string& id) {
         constexpr duration patience = std::chrono::seconds(3);
         constexpr duration step = std::chrono::milliseconds(1);
@@ -126,7 +127,7 @@
         const instant end = time_.now() + patience;
         hosts_.at(host)->member().jobs().find(job_id(id), end,
                                               [told](const job_answer& answer) { *told = answer; });
-        // No longer than it takes: ended jobs are forgotten in time.
+        // Stop as soon as there is an answer, since ended jobs are forgotten after a while.
         while (!*told && time_.now() < end)
             time_.run_for(step);
         if (!*told || (*told)->known != job_answer::kind::found)
--- a/tests/cell/fleet_load_test.cpp
+++ b/tests/cell/fleet_load_test.cpp
@@ -9,9 +9,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Loads of a large fleet at a tenth of a data centre's size: 40 workers in two data centres,
-/// lasting tasks that take most of the room, short jobs that keep coming, and six hosts that pass
-/// on the orders of a coordinator which carries no worker itself.
+/// Tests faults under the load of a large fleet, scaled down to a tenth of a data centre: 40
+/// workers in two data centres, service tasks that take most of the capacity, a steady stream of
+/// short batch jobs, and six hosts that relay the coordinator's orders.
 class fleet_load_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(fleet_load_test);
     CPPUNIT_TEST(a_third_of_the_hosts_parted_from_the_log);
@@ -33,7 +33,7 @@
     static step_spec short_step(std::uint32_t tasks) { return cell_world::make_step(tasks, 600); }
     static std::string lasting_job(std::size_t index) { return absl::StrCat("lasting", index); }
 
-    /// A host that has power; nothing while none has.
+    /// A random host that is running, or nothing if there is none.
     std::optional<std::size_t> any_host() {
         const std::size_t first = world_.draw() % hosts;
         for (std::size_t host = first; host < first + hosts; ++host)
@@ -41,7 +41,7 @@
                 return host % hosts;
         return std::nullopt;
     }
-    /// Two steps of eight tasks four times a second.
+    /// Submits a batch job of two steps with eight tasks each, four times a second.
     void keep_coming() {
         if (!coming_)
             return;
@@ -52,7 +52,7 @@
                           cell_world::make_job({short_step(8), second}));
         world_.time().after(milliseconds(250), [this] { keep_coming(); });
     }
-    /// Lasting tasks take 104 of 160 cores.
+    /// Starts the load. The service tasks request 104 of the 160 cores.
     void begin() {
         world_.watch().failing = 0;
         world_.time().run_for(seconds(3));
@@ -77,7 +77,8 @@
         world_.time().run_for(bound);
         CPPUNIT_ASSERT_EQUAL(lasting_jobs * lasting_tasks, lasting_running());
     }
-    /// Short jobs come to their end once no more come, and nothing broke a rule meanwhile.
+    /// Stops the stream of batch jobs and checks that all of them succeed, within `backlog`, and
+    /// that no invariant was violated.
     void end(duration backlog = seconds(20)) {
         coming_ = false;
         world_.time().run_for(backlog);
@@ -125,8 +126,8 @@
         all_lasting_run_within(seconds(8));
         end();
     }
-    /// Guards against lasting tasks that find no room among short ones once their workers have
-    /// gone.
+    /// Guards against service tasks that find no free resources after the loss of their workers
+    /// because batch tasks take up the remaining ones.
     void workers_lost_at_short_notice_under_full_lasting_load() {
         begin();
         for (const char* const leaving : {"w1", "w2", "w3"})
@@ -149,10 +150,11 @@
         for (std::size_t host = 1; host < hosts; host += 2)
             world_.start_host(host);
         all_lasting_run_within(seconds(6));
-        // Meanwhile short jobs came for twice the room that is left.
+        // Meanwhile batch jobs were submitted for twice the remaining capacity.
         end(seconds(60));
     }
-    /// Guards against a restart of all after which work stands still for longer than its leases.
+    /// Guards against a restart of all hosts after which no tasks are started for longer than the
+    /// leases of the workers last.
     void all_hosts_without_power_at_the_end() {
         begin();
         for (std::size_t host = 0; host < hosts; ++host)
--- a/tests/cell/job_outlook_test.cpp
+++ b/tests/cell/job_outlook_test.cpp
@@ -8,8 +8,8 @@
 
 using std::chrono::seconds;
 
-/// The pattern: more jobs than can be served. Which of them can still be in time, and in which
-/// order they go.
+/// Tests overload, with more jobs than can be served: which jobs can still meet their time
+/// objective, and in which order jobs are served.
 class job_outlook_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(job_outlook_test);
     CPPUNIT_TEST(a_job_that_its_longest_chain_fits_is_in_time);
@@ -23,7 +23,8 @@
     static constexpr std::uint32_t tasks = 4;
     const instant begin_{seconds(1000)};
 
-    /// Two steps, one after the other, of four tasks of 2 s on one core; wanted within 10 s.
+    /// A job of two consecutive steps, each with four tasks that take 2 s on one core. Its
+    /// objective is to finish within 10 s.
     job_work make_job() const {
         auto spec = std::make_shared<job_spec>();
         step_spec step;
--- a/tests/cell/lasting_rule.cpp
+++ b/tests/cell/lasting_rule.cpp
@@ -61,11 +61,12 @@
         return;
     world_.watch().blame(
         "DOWN", task, "'" + state.last_worker + "', recorded on '" + recorded_worker(task) + "'");
-    // Told once; what follows from it is no news.
+    // Report a violation only once per job.
     cancelled_.insert(parse_task_name(task)->job.str());
 }
 
-/// The worker that the log names for a task, which its coordinator records before it orders.
+/// The worker to which a task is assigned according to the log. The coordinator records it before
+/// it sends the start order.
 std::string lasting_rule::recorded_worker(const std::string& task) {
     const auto name = parse_task_name(task);
     const auto& newest = world_.store().of(cell_stream::progress).newest;
@@ -79,9 +80,10 @@
     return steps.at(name->step).at(name->index).ordered_to.str();
 }
 
-/// While the coordinator acts it needs its process, the log with its answers and the workers: a
-/// lasting task may start on another worker only while the log confirms the reign. While none
-/// acts, one of the others has to take over, unless none is able to.
+/// Whether a fault excuses the downtime of all tasks. A coordinator needs its process, the workers
+/// and the log with its answers, because a service task may move to another worker only while the
+/// log confirms the leadership term. Without a coordinator another host has to take over, unless
+/// none can.
 bool lasting_rule::trouble_for_all(std::optional<std::size_t> acting) {
     if (world_.fleet().late_orders > 0 || world_.fleet().lost_answers > 0)
         return true;
@@ -101,7 +103,7 @@
     return false;
 }
 
-/// Without a coordinator, whether a successor can.
+/// Whether the coordinator, or if there is none its successor, can connect to the worker.
 bool lasting_rule::reaches(std::optional<std::size_t> acting, const std::string& worker) {
     if (acting)
         return !world_.host(*acting)->way_to_workers().is_cut(worker);
--- a/tests/cell/lasting_rule.h
+++ b/tests/cell/lasting_rule.h
@@ -8,28 +8,31 @@
 
 namespace figwinch::sim {
 
-/// Holds lasting tasks against one rule: a task whose job is accepted and not cancelled, that has
-/// room, and whose own last worker isn't in doubt, runs again within `longest_down` of the end of
-/// its last run, its acceptance or the last trouble that touches it, whichever came last. That some
-/// other worker is away touches no task. Broken rules go to the world's watch. Owned by a test.
+/// Checks the maximum downtime of service tasks: a task must have a run again within `longest_down`
+/// after the end of its last run, the acceptance of its job, or the last fault that excuses it,
+/// whichever is latest. This applies if the job is accepted and not cancelled, a worker has free
+/// resources for the task, and the task's last worker is reachable. The loss of any other worker is
+/// no excuse. Reports violations to the invariant checker of the cell. Owned by a test.
 class lasting_rule {
 public:
     explicit lasting_rule(cell_world& world);
 
-    /// A lasting job was handed in; it counts from when its caller is told that it is stored.
+    /// Starts checking a service job that was submitted. It counts as accepted once `told` says
+    /// that it is stored.
     void follow(const std::string& job, std::shared_ptr<std::optional<intake_outcome>> told);
-    /// A caller has asked to cancel it, whether that was stored or not.
+    /// Stops checking a job because its cancellation was requested, whether or not that is stored.
     void leave(const std::string& job) { cancelled_.insert(job); }
 
     static constexpr duration longest_down = std::chrono::seconds(6);
 
 private:
     struct standing {
-        /// From when on the time without a run counts; none while it runs or is excused.
+        /// The start of the current downtime. Unset while the task has a run or is excused by a
+        /// fault.
         std::optional<instant> down_since;
-        /// Where its last order to start went.
+        /// The worker to which its last start order was sent.
         std::string last_worker;
-        /// A task that doesn't last got room that it could have had.
+        /// Resources that would have fitted this task were given to a batch task.
         bool passed_over = false;
     };
 
--- a/tests/cell/pace_test.cpp
+++ b/tests/cell/pace_test.cpp
@@ -12,21 +12,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The promise to a task that serves: never over its target for so long by what fills beside it.
+/// The service-level objective: best-effort tasks must not keep a serving task over its latency
+/// target for this long.
 constexpr duration longest_harm = seconds(4);
-/// Nor may a task that fills stand still for so long with nothing in its way.
+/// A best-effort task must not stay paused for this long without reason.
 constexpr duration longest_still = longest_harm;
 constexpr duration step = milliseconds(50);
 constexpr std::uint64_t seeds = 20;
-/// Utilisation by a serving task's own users: beside it a task may fill at full speed, or not at
-/// all.
+/// Utilisation of the serving task by its own users' requests. At low load a best-effort task can
+/// run next to it at full speed, at high load not at all.
 constexpr double low_load = 0.25;
 constexpr double high_load = 0.77;
 constexpr duration load_period = seconds(14);
-/// Orders that are carried out late are by then, and a newer one has been answered.
+/// By then all delayed orders have been executed and a newer one has been answered.
 constexpr duration longest_doubt = seconds(15);
 
-/// One worker with a task that serves and a task that fills.
+/// A simulated cell of one worker, which runs a serving task "s" and a best-effort task "f".
 class shared_cell {
 public:
     explicit shared_cell(std::uint64_t seed, double slowdown_per_core = 1.2) : world_(seed, 3, 1) {
@@ -42,11 +43,12 @@
         world_.submit(0, "s", cell_world::make_job({serving}));
         world_.time().run_for(seconds(2));
         submit_filling("f", 800);
-        // A fifth of its work and more: it isn't moved for a wait of some seconds.
+        // Lets "f" finish more than a fifth of its work, so that a pause of some seconds doesn't
+        // make it a straggler, which would be moved.
         world_.time().run_for(seconds(30));
     }
 
-    /// Hands in a job that fills, by one task.
+    /// Submits a job with one best-effort task.
     void submit_filling(const std::string& job, int cpu_millis) {
         step_spec filling = cell_world::make_step(1, cpu_millis);
         filling.filling = true;
@@ -65,7 +67,7 @@
     std::uint64_t orders() {
         return world_.host(*world_.coordinator())->member().coordinating()->counts().paces;
     }
-    /// Runs until `reached`, so long at most.
+    /// Runs the simulation until `reached` returns true, for at most `longest`.
     template <class Reached>
     bool run_until(const Reached& reached, duration longest = seconds(5)) {
         for (duration span{}; span < longest; span += step) {
@@ -75,7 +77,7 @@
         }
         return false;
     }
-    /// Beside high load the task that fills has come to rest.
+    /// Raises the load and waits until the best-effort task is paused.
     void rest() {
         worker().serving_load = high_load;
         CPPUNIT_ASSERT(run_until([this] { return pace() == 0; }));
@@ -88,7 +90,8 @@
         worker().serving_load =
             (high_load + low_load) / 2 + (high_load - low_load) / 2 * std::sin(angle);
     }
-    /// For how long on end the task that serves is over its target by the one that fills.
+    /// Runs for `whole` and returns the longest period for which the best-effort task kept the
+    /// serving task over its latency target.
     duration harm_within(duration whole, bool swinging = false) {
         duration longest{};
         duration on_end{};
@@ -106,7 +109,8 @@
     cell_world world_;
 };
 
-/// Whether filling tasks work at the pace that the coordinator wants of them.
+/// Tests that best-effort tasks run at the speed to which the coordinator throttles them, even if
+/// pace orders or their answers are lost or delayed.
 class pace_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(pace_test);
     CPPUNIT_TEST(a_lost_answer_leaves_no_task_too_fast);
@@ -119,7 +123,8 @@
     CPPUNIT_TEST(a_new_run_waits_for_one_that_is_being_stopped);
     CPPUNIT_TEST_SUITE_END();
 
-    /// Plays a story with many seeds: none may come to harm.
+    /// Runs a scenario with many seeds. With each of them the serving task must stay within its
+    /// objective.
     template <class Story>
     static void play(const Story& story) {
         std::string broken;
@@ -130,15 +135,14 @@
                 broken += " " + std::to_string(seed) + " (" +
                           std::to_string(harm / milliseconds(1)) + " ms)";
         }
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("seeds with harm", std::string(), broken);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("seeds that violate the objective", std::string(), broken);
     }
 
 public:
-    /// Story: a serving task was over its target for seconds, while the coordinator took the task
-    /// beside it to stand still. An order to let that one work was carried out and its answer lost;
-    /// before it was given up the load rose again, and to stand still was what it was taken to do.
-    /// Cause: the pace of before was believed of an order without an answer. With that pace taken
-    /// for unknown, and ordered, the harm of 20 s is one of 0.75 s.
+    /// Guards against a best-effort task that runs while the coordinator believes it to be paused:
+    /// an order to resume it is executed but its answer is lost, and the load rises again before
+    /// the call times out. The speed must then count as unknown and be ordered again. Without that
+    /// the serving task is over its target for the whole 20 s, with it for 0.75 s.
     void a_lost_answer_leaves_no_task_too_fast() {
         play([](shared_cell& cell) {
             cell.rest();
@@ -150,10 +154,10 @@
             return cell.harm_within(seconds(20));
         });
     }
-    /// Story: the same, but the order to let it work had been held up for seconds. It was carried
-    /// out after a newer one to stand still that had been answered. Cause: an answer was taken for
-    /// the last word while an earlier order could still come. With the pace ordered anew for as
-    /// long, harm of up to 18.2 s is one of 1.65 s at most.
+    /// Guards against a delayed order to resume a task that is executed after a newer order to
+    /// pause it, although the newer one was answered. The speed must be ordered again for as long
+    /// as an earlier order may still arrive. Without that the serving task is over its target for
+    /// up to 18.2 s, with it for at most 1.65 s.
     void an_order_carried_out_late_leaves_no_task_too_fast() {
         play([](shared_cell& cell) {
             cell.rest();
@@ -169,8 +173,8 @@
             return harm;
         });
     }
-    /// Story: the load of a serving task swings, and for a minute one order to pace in five is
-    /// carried out late or gets no answer.
+    /// Guards against long violations of the latency target under a varying load while, for a
+    /// minute, one pace order in five is executed late or gets no answer.
     void orders_lost_and_late_harm_no_task() {
         play([](shared_cell& cell) {
             cell.fleet().late_paces = 0.1;
@@ -178,9 +182,10 @@
             return cell.harm_within(seconds(60), true);
         });
     }
-    /// Story: the load rose for a moment only. The order to stand still was carried out and its
-    /// answer lost; the task was taken to work at full speed, as it should again, and stood still.
-    /// The cause is that of a lost answer that leaves one too fast.
+    /// Guards against a best-effort task that stays paused: during a short rise of the load the
+    /// order to pause it is executed but its answer is lost, so that the coordinator believes it to
+    /// run at full speed, as it should by then. The speed must count as unknown and be ordered
+    /// again.
     void a_lost_answer_leaves_no_task_standing_still() {
         std::string still;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
@@ -194,10 +199,10 @@
             if (cell.pace() <= 0)
                 still += " " + std::to_string(seed);
         }
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("seeds with a task that stands", std::string(), still);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("seeds with a task that stays paused", std::string(), still);
     }
-    /// Guards against harm that goes on for as long as filling tasks follow each other: a new one
-    /// works at full speed until the next report.
+    /// Guards against a serving task that stays over its target because best-effort tasks are
+    /// started next to it one after another: each new one runs at full speed until the next report.
     void nothing_that_fills_starts_beside_a_task_over_its_target() {
         constexpr double harmless = 0.05;
         constexpr double over_target = 0.9;
@@ -211,7 +216,7 @@
         cell.run_for(seconds(4));
         CPPUNIT_ASSERT(cell.begun("g.0.0.0"));
     }
-    /// Guards against a run at full speed for as long as the order to stop it is held up.
+    /// Guards against a run that continues at full speed while the order to stop it is delayed.
     void a_run_that_is_being_stopped_harms_no_task() {
         play([](shared_cell& cell) {
             cell.fleet().late_stops = 1;
@@ -221,8 +226,8 @@
             return cell.harm_within(seconds(20));
         });
     }
-    /// Guards against two runs beside a serving task where one was admitted: the one that is being
-    /// stopped works on until its end.
+    /// Guards against a second best-effort run next to a serving task while the first one is being
+    /// stopped: that one continues to run until its end, so its resources aren't free yet.
     void a_new_run_waits_for_one_that_is_being_stopped() {
         play([](shared_cell& cell) {
             cell.fleet().late_stops = 1;
@@ -234,8 +239,8 @@
             return cell.harm_within(seconds(20));
         });
     }
-    /// Each order is a call to a worker: without a lost answer none is the same as the one before,
-    /// and a lost one is made up for once no late order can come any more.
+    /// Guards against superfluous calls to workers. A pace order may equal the previous one only
+    /// after a lost answer, and only until no delayed order can arrive any more.
     void a_pace_is_ordered_again_in_doubt_only() {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             shared_cell cell(seed);
--- a/tests/cell/rule_watch.h
+++ b/tests/cell/rule_watch.h
@@ -13,8 +13,8 @@
 
 namespace figwinch::sim {
 
-/// Sees every start and end on every worker and holds them against the rules of the product. Broken
-/// rules are kept as text. Owned by `cell_world`.
+/// Observes the start and end of every run on the simulated workers, checks the scheduler's
+/// invariants and collects violations as text. Owned by `cell_world`.
 class rule_watch final : public worker_watch {
 public:
     rule_watch(sim_time& time, std::uint64_t seed) : time_(time), random_(seed) {}
@@ -23,20 +23,21 @@
         job_spec spec;
         std::optional<instant> cancel_stored;
     };
-    /// Jobs that were ever handed in, and the room of every worker.
+    /// All jobs that were ever submitted, by id, and the capacity of every worker.
     std::map<std::string, job_truth> jobs;
     std::map<std::string, resources> room;
-    /// Share of runs that fail.
+    /// The probability that a run fails.
     double failing = 0.05;
-    /// Every task takes 1.5 s.
+    /// Makes every task take 1.5 s instead of a random time.
     bool long_tasks = false;
-    /// How long tasks that fill take; 0: as long as others.
+    /// The run time of best-effort tasks. 0 means the same as for other tasks.
     duration filling_length{};
+    /// The violations so far.
     std::vector<std::string> broken;
-    /// What happened, for the story of a broken rule.
+    /// All events so far, to be shown with a violation.
     std::vector<std::string> trace;
     std::uint64_t starts = 0;
-    /// Called as a task that doesn't last takes its room on a worker, just before it is counted.
+    /// Called when a batch task starts on a worker, just before its resources are counted as used.
     std::function<void(const std::string& worker)> on_short_start;
 
     void on_start(const std::string& worker, const start_order& order, bool late) override {
@@ -63,7 +64,7 @@
     }
     void on_end(const std::string& worker, const std::string& task, run_number run,
                 run_end how) override {
-        note("end " + task + " run " + std::to_string(run.value()) + " on " + worker + " how " +
+        note("end " + task + " run " + std::to_string(run.value()) + " on " + worker + " reason " +
              std::to_string(static_cast<int>(how)));
         running_[task].erase({worker, run});
         on_worker_[worker].erase(task);
@@ -71,7 +72,8 @@
             done_.insert(task);
     }
     void on_noted(const std::string& worker, const ended_row& row) override {
-        note("noted " + row.task + " run " + std::to_string(row.run.value()) + " on " + worker);
+        note("acknowledged " + row.task + " run " + std::to_string(row.run.value()) + " on " +
+             worker);
         if (row.how == run_end::done)
             done_noted_.insert(row.task);
         if (row.how == run_end::failed)
@@ -122,14 +124,14 @@
             return fits(step_of(task).size, left_on(worker.first));
         });
     }
-    /// What is free on each worker.
+    /// The free resources of each worker, one line per worker.
     std::string rooms() const {
         std::string text;
         for (const auto& [worker, capacity] : room)
-            text += worker + " has left " + to_string(left_on(worker)) + "\n";
+            text += worker + " has free " + to_string(left_on(worker)) + "\n";
         return text;
     }
-    /// The lines that name a task, and those that name none.
+    /// The events that concern the given task or no task at all.
     std::string story_of(const std::string& task) const {
         std::string story;
         for (const std::string& line : trace)
@@ -172,7 +174,7 @@
         return size;
     }
 
-    /// Where a manual clock starts, ms.
+    /// The start time of the simulated clock, in ms.
     static constexpr std::int64_t start_ms = 3'600'000;
 
     sim_time& time_;
--- a/tests/cell/sharing_harm_test.cpp
+++ b/tests/cell/sharing_harm_test.cpp
@@ -13,26 +13,27 @@
 
 constexpr double step_s = 0.05;
 constexpr double report_period_s = 0.4;
-/// From a decision until the worker follows it: the order's way and the worker's own delay.
+/// The time from a decision until the worker applies it: the delivery of the order and the worker's
+/// own delay.
 constexpr double pace_delay_s = 0.15;
-/// Workers tell a tail that is off by an eighth, as a rule.
+/// The standard deviation of the relative error of reported tail latencies.
 constexpr double roughness = 0.12;
 constexpr double played_s = 120;
 constexpr double longest_allowed_s = 4;
 
-/// One worker in simulated time: serving tasks, filling tasks that come and go, and the control
-/// that sees reports and orders paces.
+/// A simulation of one worker with serving tasks, a changing set of best-effort tasks, and the
+/// control that receives reports and throttles the best-effort tasks.
 class shared_worker {
 public:
     struct load {
         int neighbours;
         double shortest_s;
         double longest_s;
-        /// New filling tasks wait until the control admits them.
+        /// New best-effort tasks wait until the control admits them.
         bool admitted_only;
     };
 
-    /// Another filling task follows each.
+    /// Starts with `with.neighbours` best-effort tasks. Each is replaced by a new one when it ends.
     shared_worker(std::uint64_t seed, const load& with) : random_(seed), load_(with) {
         for (int index = 0; index < images; ++index) {
             serving_.push_back(model_.number("serving" + std::to_string(index)));
@@ -48,8 +49,8 @@
             beside_.push_back(new_neighbour());
     }
 
-    /// The longest time on end, within `seconds`, that a serving task was over its target by what
-    /// filled beside it.
+    /// Simulates `seconds` and returns the longest continuous period for which best-effort tasks
+    /// kept a serving task over its latency target.
     double longest_harm_s(double seconds) {
         for (double s = 0; s < seconds; s += step_s) {
             advance(s);
@@ -148,7 +149,8 @@
     std::vector<neighbour> beside_;
 };
 
-/// The promise to tasks that serve: never over target for 4 s on end by what fills beside them.
+/// Tests the service-level objective: best-effort tasks must not keep a serving task over its
+/// latency target for 4 consecutive seconds.
 class sharing_harm_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(sharing_harm_test);
     CPPUNIT_TEST(no_task_stays_over_its_target_for_seconds);
@@ -168,14 +170,13 @@
     }
 
 public:
-    /// Story: a serving task stayed over its target for 4 s on end by what filled beside it, on
-    /// some days and not on a replay. Tails are steered to the target, and reports are off by an
-    /// eighth: one report that seemed under it began the count anew after which neighbours stand
-    /// still. With exact reports none of 20,000 such workers breaks the promise, with rough ones 27
-    /// did.
+    /// Guards against noisy reports that delay the pause of best-effort tasks. Tail latencies are
+    /// steered to the target and reported with an error of an eighth, so a single report below the
+    /// target would restart the count of seconds over it. With exact reports none of 20,000
+    /// simulated workers violates the objective; with noisy ones and such a count 27 did.
     void no_task_stays_over_its_target_for_seconds() { play({3, 2, 20, false}); }
-    /// Guards against new filling tasks, which work at full speed until the next report, that are
-    /// started beside a serving task which is over its target.
+    /// Guards against best-effort tasks that are started next to a serving task which is over its
+    /// latency target: a new task runs at full speed until the next report.
     void short_tasks_that_follow_each_other_harm_none() { play({5, 0.8, 4, true}); }
 };
 
--- a/tests/cell/sharing_test.cpp
+++ b/tests/cell/sharing_test.cpp
@@ -19,9 +19,10 @@
     return instant{milliseconds(10'000 + static_cast<int>(seconds * 1000))};
 }
 
-/// The pattern: serving tasks a little under half busy, each swinging by itself by a half in 14 s,
-/// beside filling tasks of which some images slow some serving images by factors and others not at
-/// all; reports twice a second. It is what both kinds of deployment show all day.
+/// Tests the slowdown model and the throttling of best-effort tasks with a typical load: serving
+/// tasks with a utilisation of a little under one half, each varying independently by half of that
+/// with a period of 14 s, next to best-effort tasks of which some images slow down some serving
+/// images several-fold and others not at all. Reports arrive about twice a second.
 class sharing_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(sharing_test);
     CPPUNIT_TEST(slowdowns_of_pairs_are_told_apart);
@@ -49,8 +50,8 @@
     double draw(double low, double high) {
         return std::uniform_real_distribution<double>(low, high)(random_);
     }
-    /// Lets the model see `count` reports of each of two serving tasks whose filling neighbours
-    /// change every four reports.
+    /// Feeds the model with `count` reports of each of two serving tasks whose best-effort
+    /// neighbours change every four reports.
     void observe(double slowdown, int count) {
         std::vector<sim_serving> tasks = {sim_serving(0.1), sim_serving(0.6)};
         std::vector<image_share> beside;
@@ -64,7 +65,8 @@
             }
         }
     }
-    /// What the control decides for a task that has been alone up to `at_s`.
+    /// The speed that the control sets for a new best-effort task at `at_s`, next to a serving task
+    /// that has had no neighbours until then.
     int percent_at(double at_s, image_number filling, double share) {
         sim_serving task(0);
         for (double s = 0; s <= at_s; s += report_period_s)
@@ -77,7 +79,8 @@
     }
 
 public:
-    /// The filter takes part of a slowdown for own load: it comes out at two thirds or more.
+    /// The filter attributes a part of the slowdown to the task's own load: it estimates two thirds
+    /// of the true value or more.
     void slowdowns_of_pairs_are_told_apart() {
         observe(5, 400);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(4.2, model_.slowdown(serving_, hard_), 0.9);
@@ -99,9 +102,10 @@
         CPPUNIT_ASSERT(model_.slowdown(other, hard_) > 2);
         CPPUNIT_ASSERT(model_.slowdown(other, soft_) < 1);
     }
-    /// Story: in the first seconds nothing is known of most pairs. Images of which little is known
-    /// counted as alike, serving tasks were mixed on a third of the workers, and no filling image
-    /// found a worker on which it slowed nobody.
+    /// Guards against images that count as equally sensitive only because few of their pairs have
+    /// been observed, as in the first seconds. Different serving images were then mixed on a third
+    /// of the workers, and no best-effort image found a worker on which it slowed down none of
+    /// them.
     void images_differ_as_far_as_is_known() {
         const image_number other = model_.number("other serving");
         CPPUNIT_ASSERT_EQUAL(1.0, model_.difference(serving_, other));
@@ -111,8 +115,8 @@
     }
     void harmless_neighbours_work_at_full_speed() {
         observe(5, 1500);
-        // A quarter of the period: the highest load of its own. Slowing who doesn't matter wouldn't
-        // help.
+        // The peak of the task's own load, at a quarter of the period. Throttling a neighbour that
+        // causes no slowdown wouldn't help.
         CPPUNIT_ASSERT_EQUAL(100, percent_at(3.6, soft_, 0.1));
     }
     void only_the_harmful_neighbour_is_slowed() {
@@ -126,8 +130,8 @@
         CPPUNIT_ASSERT_EQUAL(100, beside[0].percent);
         CPPUNIT_ASSERT(beside[1].percent <= 30);
     }
-    /// The same neighbour that would break a target at the height of the service's own load does no
-    /// harm while its own load is low.
+    /// A neighbour that must be throttled at the peak of the serving task's own load can run at
+    /// full speed while that load is low.
     void harmful_neighbours_work_at_low_load() {
         observe(5, 1500);
         const double high = 3.6;
@@ -135,9 +139,10 @@
         CPPUNIT_ASSERT(percent_at(high, hard_, 0.1) <= 60);
         CPPUNIT_ASSERT_EQUAL(100, percent_at(low, hard_, 0.1));
     }
-    /// Two minutes of a worker with three serving tasks and a neighbour that would keep each of
-    /// them over its target for a quarter of the time: with control for less than a third of that,
-    /// since tails are steered to the target itself.
+    /// Simulates two minutes of a worker with three serving tasks and a neighbour that would keep
+    /// each of them over its latency target for a quarter of the time. With the control it must be
+    /// less than a third of that; it isn't zero, because tail latencies are steered to the target
+    /// itself.
     void targets_hold_beside_a_harmful_neighbour() {
         observe(5, 400);
         std::vector<sim_serving> tasks = {sim_serving(0), sim_serving(0.3), sim_serving(0.7)};
@@ -165,11 +170,12 @@
         const double steps = reports / 3.0;
         CPPUNIT_ASSERT(over_uncontrolled > reports / 4);
         CPPUNIT_ASSERT(over * 3 < over_uncontrolled);
-        // What the headroom at the mean of three loads allows is about half of full speed.
+        // The headroom at the mean load of the three tasks permits about half of full speed.
         CPPUNIT_ASSERT(worked / steps > 0.2);
     }
-    /// Story: nothing is known of a pair and the tail stays over its target. The promise allows
-    /// some seconds of that; before they are over nothing that fills may work.
+    /// Guards against a violated objective next to images without observations: when a tail latency
+    /// stays over its target, all best-effort tasks must be paused within the few seconds that the
+    /// objective permits.
     void everything_stands_still_before_the_promise_breaks() {
         observe(0, 2000);
         sharing_control control;
--- a/tests/cell/straggler_test.cpp
+++ b/tests/cell/straggler_test.cpp
@@ -8,8 +8,8 @@
 
 using std::chrono::milliseconds;
 
-/// The pattern: steps of some like tasks, of which those on a slow or hanging worker hold up the
-/// whole step and all that depend on it.
+/// Tests the detection of tasks on slow or hanging workers, which delay their step and all steps
+/// that depend on it.
 class straggler_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(straggler_test);
     CPPUNIT_TEST(a_run_without_progress_stands_still);
@@ -33,7 +33,7 @@
         CPPUNIT_ASSERT(stands_still(progress(3000, 2500, 40)));
         CPPUNIT_ASSERT(stands_still(progress(2500, 2500, 0)));
     }
-    /// Ten minutes of work: a percent takes 6 s, in which nothing changes.
+    /// In a task of ten minutes one percent takes 6 s, during which its percentage doesn't change.
     void a_long_run_that_gets_on_slowly_doesnt_stand_still() {
         CPPUNIT_ASSERT(!stands_still(progress(60'000, 5900, 9, 600'000)));
         CPPUNIT_ASSERT(!stands_still(progress(5900, 5900, 0, 600'000)));
@@ -45,7 +45,7 @@
     }
     void the_usual_time_takes_three_samples() {
         CPPUNIT_ASSERT(!usual_time({milliseconds(600)}, {progress(300, 0, 50)}).has_value());
-        // Runs that have hardly begun tell nothing.
+        // Runs with little progress don't count as samples.
         CPPUNIT_ASSERT(!usual_time({milliseconds(600)}, {progress(300, 0, 50), progress(300, 0, 5)})
                             .has_value());
         const auto usual =
