--- a/include/figwinch/cell/worker_orders.h
+++ b/include/figwinch/cell/worker_orders.h
@@ -81,8 +81,8 @@
     /// Long polling: for how long the worker may delay its answer until a run ends.
     duration wait{};
     lease_epoch epoch;
-    /// The ends of runs of the incarnation `born_ms` up to number `seen` have been received; the
-    /// report may leave them out.
+    /// The ends of runs up to number `seen` of the given incarnation are known to the coordinator,
+    /// so the report may leave them out.
     std::uint64_t seen = 0;
     std::uint64_t born_ms = 0;
     /// The report must have the task name of every run. Otherwise it may leave out the names of
