--- a/bench/cell_coordinator.cpp
+++ b/bench/cell_coordinator.cpp
@@ -16,7 +16,7 @@
 void hand_in_lasting(cell_world& world, std::size_t workers) {
     for (std::size_t index = 0; index < workers; ++index) {
         step_spec step = cell_world::make_step(4, 700);
-        step.lasting = true;
+        step.is_service = true;
         world.submit(0, "lasting" + std::to_string(index), cell_world::make_job({step}));
     }
 }
@@ -40,7 +40,7 @@
     for (const std::size_t workers : {66U, 490U, 1'800U, 5'000U}) {
         const double heap_before = static_cast<double>(heap_bytes());
         cell_world world(3, 1, workers);
-        world.watch().failing = 0;
+        world.checker().failure_probability = 0;
         world.time().run_for(warm_up);
         hand_in_lasting(world, workers);
         world.time().run_for(warm_up);
--- a/bench/cell_sharing.cpp
+++ b/bench/cell_sharing.cpp
@@ -37,20 +37,20 @@
         for (std::size_t index = 0; index < serving_each; ++index)
             tasks_.emplace_back(phase(random));
         for (std::size_t filling = 0; filling < true_slowdowns.size(); ++filling)
-            beside_.push_back({model.number("f" + std::to_string(filling)), filling_share, 100});
+            beside_.push_back({model.number_of("f" + std::to_string(filling)), filling_share, 100});
     }
 
     void step(double at_s, policy with, outcome* counted) {
         double slowdown = 0;
         std::vector<image_share> used;
         for (std::size_t filling = 0; filling < beside_.size(); ++filling) {
-            const int percent = with == policy::no_filling ? 0 : beside_[filling].percent;
+            const int percent = with == policy::no_filling ? 0 : beside_[filling].speed_percent;
             const double share = filling_share * percent / 100;
             slowdown += true_slowdowns[image_][filling] * share;
             used.push_back({beside_[filling].image, share});
         }
         const instant now{std::chrono::milliseconds(static_cast<int>(at_s * 1000) + 1)};
-        const image_number number = model_.number("s" + std::to_string(image_));
+        const image_number number = model_.number_of("s" + std::to_string(image_));
         std::vector<serving_view> serving;
         for (sim_serving& task : tasks_) {
             const double tail = task.reported(at_s, slowdown, random_);
@@ -76,8 +76,8 @@
     std::size_t image_;
     std::mt19937_64& random_;
     std::vector<sim_serving> tasks_;
-    std::vector<filling_view> beside_;
-    sharing_control control_;
+    std::vector<best_effort_view> beside_;
+    throttle_controller control_;
 };
 
 outcome play(policy with, std::uint64_t seed) {
@@ -97,16 +97,16 @@
 double report_seconds(std::size_t tasks) {
     constexpr int reports = 20'000;
     slowdown_model model;
-    const image_number serving = model.number("s");
-    std::vector<filling_view> beside;
+    const image_number serving = model.number_of("s");
+    std::vector<best_effort_view> beside;
     std::vector<image_share> used;
     for (std::size_t filling = 0; filling < true_slowdowns.size(); ++filling) {
-        beside.push_back({model.number("f" + std::to_string(filling)), filling_share, 100});
+        beside.push_back({model.number_of("f" + std::to_string(filling)), filling_share, 100});
         used.push_back({beside.back().image, filling_share});
     }
     std::vector<load_estimate> loads(tasks);
     std::vector<tail_estimate> tails(tasks);
-    sharing_control control;
+    throttle_controller control;
     const auto report_once = [&](int number) {
         const instant now{std::chrono::milliseconds(400 * number)};
         std::vector<serving_view> views;
--- a/include/figwinch/cell.h
+++ b/include/figwinch/cell.h
@@ -25,7 +25,7 @@
 #include "figwinch/cell/task_name.h"
 #include "figwinch/cell/worker_advisor.h"
 #include "figwinch/cell/worker_entry.h"
+#include "figwinch/cell/worker_fingerprints.h"
 #include "figwinch/cell/worker_listing.h"
-#include "figwinch/cell/worker_marks.h"
 #include "figwinch/cell/worker_orders.h"
 #include "figwinch/cell/worker_report.h"
--- a/include/figwinch/cell/cell_config.h
+++ b/include/figwinch/cell/cell_config.h
@@ -24,7 +24,7 @@
     double stretch = 1;
     duration target{};
     /// Only an advisor knows which workers may run its steps.
-    std::optional<advice_terms> advice;
+    std::optional<advisor_settings> advice;
 };
 
 /// One service: a pool of workers.
--- a/include/figwinch/cell/job_entry.h
+++ b/include/figwinch/cell/job_entry.h
@@ -2,7 +2,7 @@
 
 #include "figwinch/cell/job_progress.h"
 #include "figwinch/cell/job_spec.h"
-#include "figwinch/cell/worker_marks.h"
+#include "figwinch/cell/worker_fingerprints.h"
 
 #include <memory>
 #include <string>
@@ -22,9 +22,9 @@
     job_phase phase = job_phase::open;
     /// The newest progress record as stored; decoded by whoever becomes coordinator.
     std::string progress_record;
-    /// Workers to which runs of tasks were to go that have no `task_progress::ordered_to` of their
-    /// own, recorded before the orders went out. No run of them can be on any other worker.
-    worker_marks ordered_to;
+    /// Workers to which runs of tasks were to go that have no `task_progress::assigned_worker` of
+    /// their own, recorded before the orders went out. No run of them can be on any other worker.
+    worker_fingerprints ordered_to;
 };
 
 } // namespace figwinch
--- a/include/figwinch/cell/job_progress.h
+++ b/include/figwinch/cell/job_progress.h
@@ -28,7 +28,7 @@
     /// For service tasks only: the worker assigned to the newest run. It is recorded before the
     /// start order is sent, so no other worker can have a run of the task. Empty if no start was
     /// ever ordered.
-    worker_id ordered_to;
+    worker_id assigned_worker;
 };
 
 /// The progress of one occurrence, that is, of one execution of all steps of a job. `steps` is
--- a/include/figwinch/cell/job_spec.h
+++ b/include/figwinch/cell/job_spec.h
@@ -18,7 +18,7 @@
     /// immediately.
     std::uint32_t repeats = 0;
     /// When the first occurrence is due, in ms since 1970, and the interval between occurrences.
-    std::int64_t first_ms = 0;
+    std::int64_t first_due_ms = 0;
     std::int64_t interval_ms = 0;
     service_id service;
     /// Lower values are served first; 0 is the most urgent.
@@ -35,6 +35,6 @@
 };
 
 /// Validates a job. Returns `invalid_value` with a message that names the offending step or field.
-absl::Status check_job(const job_spec& job);
+absl::Status validate_job(const job_spec& job);
 
 } // namespace figwinch
--- a/include/figwinch/cell/record_codec.h
+++ b/include/figwinch/cell/record_codec.h
@@ -24,7 +24,7 @@
 std::string record_key(record_kind kind, std::string_view id);
 
 /// Records in protobuf (proto/cell.proto). Decoders return nothing on bytes that they can't read
-/// or that break the bounds of `check_job`.
+/// or that break the bounds of `validate_job`.
 std::string encode_job(const job_spec& job);
 std::optional<job_spec> decode_job(std::string_view bytes);
 std::string encode_progress(const job_progress& progress);
--- a/include/figwinch/cell/worker_advisor.h
+++ b/include/figwinch/cell/worker_advisor.h
@@ -10,26 +10,26 @@
 namespace figwinch {
 
 /// The response times of a queue's advisor and the default validity of its answers, as configured.
-struct advice_terms {
-    /// The time that the advisor needs for one call, plus `each` for every worker named in the
-    /// call.
-    duration decide{};
-    duration each{};
+struct advisor_settings {
+    /// The time that the advisor needs for one call, plus `time_per_worker` for every worker named
+    /// in the call.
+    duration time_per_call{};
+    duration time_per_worker{};
     /// For how long the tickets of an answer are valid, counted from the answer.
-    duration valid{};
+    duration ticket_validity{};
 };
 
-/// An advisor's answer to a call about a set of workers: `good` lists those that may run the step.
-/// The other workers of the call may not run it, and this verdict is final.
+/// An advisor's answer to a call about a set of workers: `allowed` lists those that may run the
+/// step. The other workers of the call may not run it, and this verdict is final.
 struct worker_advice {
-    struct row {
+    struct permit {
         worker_id worker;
         /// The authorisation that every start order of the step to this worker must carry.
         std::string ticket;
     };
-    std::vector<row> good;
-    /// The validity stated in the answer. If absent, `advice_terms::valid` applies.
-    std::optional<duration> valid;
+    std::vector<permit> allowed;
+    /// The validity stated in the answer. If absent, `advisor_settings::ticket_validity` applies.
+    std::optional<duration> ticket_validity;
 };
 
 /// Client interface of the advisor, the external service that decides which workers may run a step
@@ -42,9 +42,9 @@
 
     virtual ~worker_advisor() = default;
     /// Asks which of `workers` may run `step`, which is formatted like a task name without the task
-    /// index. The call times out after `patience`.
+    /// index. The call times out after `timeout`.
     virtual void ask(const std::string& step, const std::vector<worker_id>& workers,
-                     duration patience, handler done) = 0;
+                     duration timeout, handler done) = 0;
 };
 
 } // namespace figwinch
--- a/include/figwinch/cell/worker_entry.h
+++ b/include/figwinch/cell/worker_entry.h
@@ -7,10 +7,10 @@
 /// The durable record of a worker that may have tasks. Part of `cell_state`.
 struct worker_entry {
     /// The incarnation of the worker that received the tasks: its start time in ms since 1970.
-    std::uint64_t born_ms = 0;
+    std::uint64_t incarnation = 0;
     /// The worker is unresponsive, so the coordinator no longer renews its lease. All runs on it
     /// end when the lease that was in effect at the time of this record expires.
-    bool silent = false;
+    bool unresponsive = false;
 };
 
 } // namespace figwinch
--- a/include/figwinch/cell/worker_listing.h
+++ b/include/figwinch/cell/worker_listing.h
@@ -13,7 +13,7 @@
     worker_id id;
     /// Identifies the incarnation of the worker by its start time, in ms since 1970. A worker with
     /// a different value has restarted and has none of the runs of the earlier incarnation.
-    std::uint64_t born_ms = 0;
+    std::uint64_t incarnation = 0;
     service_id service;
     endpoint address;
     data_centre_id data_centre;
@@ -23,7 +23,7 @@
     bool leaving = false;
     /// The remaining warm-up time: how much longer the worker is slower than normal after its
     /// start.
-    duration cold_left{};
+    duration warmup_left{};
 
     friend bool operator==(const worker_listing&, const worker_listing&) = default;
 };
--- a/include/figwinch/cell/worker_orders.h
+++ b/include/figwinch/cell/worker_orders.h
@@ -25,7 +25,7 @@
     /// Rejected for any other reason, without effect.
     refused,
     /// Answered by another incarnation of the worker than the order was meant for; without effect.
-    other_life,
+    other_incarnation,
     /// No byte of the order was sent.
     not_sent,
     /// No complete answer was received: the worker may have executed the order, or may still do so.
@@ -35,13 +35,13 @@
 /// The enumerator's name, such as "no_room", as used in logs.
 const char* to_string(order_outcome outcome);
 
-/// The answer to a start, stop or pace order, none of which returns a report.
+/// The answer to a start, stop or throttle order, none of which returns a report.
 struct order_answer {
     order_outcome outcome = order_outcome::unknown;
     /// The worker's steady clock when it answered, in ms, if the answer has it.
     std::optional<std::int64_t> clock_ms{};
     /// The order may have reached another incarnation of the worker than it was meant for.
-    bool may_reach_other_life = true;
+    bool may_reach_other_incarnation = true;
 };
 
 /// Orders a worker to start one run of a task.
@@ -52,7 +52,7 @@
     std::string checkpoint;
     /// The start deadline, on the worker's clock: the order has no effect if it arrives later. It
     /// also extends the worker's lease up to this time.
-    std::int64_t until_ms = 0;
+    std::int64_t start_by_ms = 0;
     lease_epoch epoch;
     /// The ticket issued by the queue's advisor. Empty if the queue has no advisor.
     std::string ticket;
@@ -61,33 +61,34 @@
     std::function<bool()> still_wanted{};
     /// The incarnation of the worker that the order is meant for: its start time in ms since 1970.
     /// 0 means any incarnation.
-    std::uint64_t born_ms = 0;
+    std::uint64_t incarnation = 0;
 };
 
-/// Orders a worker to throttle the CPU of a run to `percent` of its full speed; 0 pauses the run.
-struct pace_order {
+/// Orders a worker to throttle the CPU of a run to `speed_percent` of its full speed; 0 pauses the
+/// run.
+struct throttle_order {
     std::string task;
     run_number run;
-    int percent = 100;
+    int speed_percent = 100;
     lease_epoch epoch;
 };
 
 /// Orders a worker to renew its lease, under which all its runs are held, and to send a report.
-struct hold_order {
+struct renewal_order {
     /// The new end of the lease, on the worker's clock. If absent, the lease isn't renewed.
-    std::optional<std::int64_t> until_ms;
+    std::optional<std::int64_t> lease_until_ms;
     /// The ends of runs up to this number are stored durably; the worker may discard them.
-    std::uint64_t noted = 0;
+    std::uint64_t acknowledged = 0;
     /// Long polling: for how long the worker may delay its answer until a run ends.
-    duration wait{};
+    duration max_wait{};
     lease_epoch epoch;
-    /// The ends of runs up to number `seen` of the given incarnation are known to the coordinator,
-    /// so the report may leave them out.
-    std::uint64_t seen = 0;
-    std::uint64_t born_ms = 0;
+    /// The ends of runs up to number `received` of the given incarnation are known to the
+    /// coordinator, so the report may leave them out.
+    std::uint64_t received = 0;
+    std::uint64_t incarnation = 0;
     /// The report must have the task name of every run. Otherwise it may leave out the names of
     /// runs that the worker was ordered to start or has reported before.
-    bool names = false;
+    bool require_names = false;
 };
 
 /// Client interface for orders to the workers of a cell. Calls don't block, invoke their handler
@@ -97,16 +98,17 @@
 public:
     using answer_handler = std::function<void(const order_answer&)>;
     /// `report` is empty unless the outcome is `done`.
-    using hold_handler = std::function<void(order_outcome, const worker_report& report)>;
+    using renewal_handler = std::function<void(order_outcome, const worker_report& report)>;
 
     virtual ~worker_orders() = default;
     virtual void start(const worker_listing& where, const start_order& order,
                        answer_handler done) = 0;
     virtual void stop(const worker_listing& where, const std::string& task, run_number run,
                       lease_epoch epoch, answer_handler done) = 0;
-    virtual void pace(const worker_listing& where, const pace_order& order,
-                      answer_handler done) = 0;
-    virtual void hold(const worker_listing& where, const hold_order& order, hold_handler done) = 0;
+    virtual void throttle(const worker_listing& where, const throttle_order& order,
+                          answer_handler done) = 0;
+    virtual void renew_lease(const worker_listing& where, const renewal_order& order,
+                             renewal_handler done) = 0;
     /// Closes the connections to a worker that has left the cell.
     virtual void forget(const worker_id& worker) = 0;
 };
--- a/include/figwinch/cell/worker_report.h
+++ b/include/figwinch/cell/worker_report.h
@@ -16,33 +16,34 @@
     /// Stopped by order of the coordinator.
     stopped,
     /// Ended because the worker's lease expired.
-    lapsed,
+    lease_expired,
     /// Ended because another member of its gang ended.
-    broken,
+    gang_ended,
     /// Timed out while it waited for the other members of its gang to start.
-    alone,
+    gang_timeout,
 };
 
 /// A run that exists on a worker.
-struct running_row {
-    /// The task name. May be empty if the report needn't have it; see `hold_order::names`.
+struct active_run {
+    /// The task name. May be empty if the report needn't have it; see
+    /// `renewal_order::require_names`.
     std::string task;
     run_number run;
     std::string checkpoint;
     /// The progress of the task in percent. Always 100 for a service task that is running.
-    int percent = 0;
+    int progress_percent = 0;
     /// For a service task with a latency target, its tail latency in ms; for other tasks, their CPU
     /// usage in thousandths of a core. Covers about the last half second.
-    std::int64_t recent = 0;
+    std::int64_t latency_ms_or_cpu_millis = 0;
 };
 
 /// The end of a run. The worker keeps it until the coordinator has acknowledged that it is stored.
-struct ended_row {
+struct ended_run {
     /// The sequence number of the end within one incarnation of the worker.
-    std::uint64_t number = 0;
+    std::uint64_t sequence = 0;
     std::string task;
     run_number run;
-    run_end how = run_end::done;
+    run_end reason = run_end::done;
     std::string checkpoint;
 };
 
@@ -51,9 +52,9 @@
 struct worker_report {
     /// The worker's steady clock when it answered, in ms.
     std::int64_t clock_ms = 0;
-    std::uint64_t born_ms = 0;
-    std::vector<running_row> running;
-    std::vector<ended_row> ended;
+    std::uint64_t incarnation = 0;
+    std::vector<active_run> running;
+    std::vector<ended_run> ended;
 };
 
 } // namespace figwinch
--- a/include/figwinch/link/link_lane.h
+++ b/include/figwinch/link/link_lane.h
@@ -32,10 +32,10 @@
                worker_orders::answer_handler done);
     void stop(const worker_listing& where, const std::string& task, run_number run,
               worker_orders::answer_handler done);
-    void pace(const worker_listing& where, const pace_order& order,
+    void pace(const worker_listing& where, const throttle_order& order,
               worker_orders::answer_handler done);
-    void hold(const worker_listing& where, const hold_order& order,
-              worker_orders::hold_handler done);
+    void hold(const worker_listing& where, const renewal_order& order,
+              worker_orders::renewal_handler done);
     void forget(const worker_id& worker);
 
     /// Hands over what has gathered when it is time to.
@@ -49,7 +49,7 @@
 private:
     struct open_order {
         worker_orders::answer_handler answered;
-        worker_orders::hold_handler held;
+        worker_orders::renewal_handler held;
     };
     struct known_worker {
         std::uint32_t number = 0;
--- a/include/figwinch/link/linked_orders.h
+++ b/include/figwinch/link/linked_orders.h
@@ -31,8 +31,10 @@
     void start(const worker_listing& where, const start_order& order, answer_handler done) override;
     void stop(const worker_listing& where, const std::string& task, run_number run,
               lease_epoch epoch, answer_handler done) override;
-    void pace(const worker_listing& where, const pace_order& order, answer_handler done) override;
-    void hold(const worker_listing& where, const hold_order& order, hold_handler done) override;
+    void throttle(const worker_listing& where, const throttle_order& order,
+                  answer_handler done) override;
+    void renew_lease(const worker_listing& where, const renewal_order& order,
+                     renewal_handler done) override;
     void forget(const worker_id& worker) override;
 
     /// Takes a host's offer; returns whether orders go by way of it.
--- a/include/figwinch/simulation/sim_advisor.h
+++ b/include/figwinch/simulation/sim_advisor.h
@@ -54,7 +54,7 @@
                 continue;
             const std::string ticket = "t" + std::to_string(++issued_);
             policy_.tickets[{step, worker.str()}] = {ticket, time_.now() + sim_policy::validity};
-            advice.good.push_back({worker, ticket});
+            advice.allowed.push_back({worker, ticket});
         }
         later(std::chrono::milliseconds(20), done, advice);
     }
--- a/include/figwinch/simulation/sim_orders.h
+++ b/include/figwinch/simulation/sim_orders.h
@@ -68,13 +68,15 @@
             return worker.stop(task, run, epoch);
         });
     }
-    void pace(const worker_listing& where, const pace_order& order, answer_handler done) override {
+    void throttle(const worker_listing& where, const throttle_order& order,
+                  answer_handler done) override {
         const order_fate fate = draw(where, std::max(fleet_.late_orders, fleet_.late_paces),
                                      std::max(fleet_.lost_answers, fleet_.lost_pace_answers));
         send(where, fate, done,
              [order](sim_worker& worker, bool late) { return worker.pace(order, late); });
     }
-    void hold(const worker_listing& where, const hold_order& order, hold_handler done) override {
+    void renew_lease(const worker_listing& where, const renewal_order& order,
+                     renewal_handler done) override {
         const order_fate fate = draw(where);
         const auto answer = [alive = std::weak_ptr(alive_), done](order_outcome outcome,
                                                                   const worker_report& report) {
@@ -82,7 +84,7 @@
                 done(outcome, report);
         };
         if (!fate.answered)
-            time_.after(order.wait + timeout, [answer] { answer(order_outcome::unknown, {}); });
+            time_.after(order.max_wait + timeout, [answer] { answer(order_outcome::unknown, {}); });
         if (fate.arrives)
             time_.after(fate.delay, [=, this, &fleet = fleet_, alive = std::weak_ptr(alive_),
                                      id = where.id.str(), born = born_of(where)] {
@@ -93,7 +95,7 @@
                     return;
                 if (outcome != order_outcome::done)
                     return time_.after(way, [answer, outcome] { answer(outcome, {}); });
-                wait_for_end(id, order, time_.now() + order.wait, answer);
+                wait_for_end(id, order, time_.now() + order.max_wait, answer);
             });
     }
     void forget(const worker_id&) override {}
@@ -118,13 +120,13 @@
 
     void send_start(const worker_listing& where, const start_order& order,
                     const answer_handler& done) {
-        const bool kept = fleet_.is_kept(order.run) && order.born_ms == born_of(where);
+        const bool kept = fleet_.is_kept(order.run) && order.incarnation == born_of(where);
         if (fleet_.on_start_sent)
             fleet_.on_start_sent(where.id.str(), order.task);
         order_fate fate = draw(where);
         fate.one_life = kept;
         const auto tell = [done, kept](order_answer answer) {
-            answer.may_reach_other_life = !kept;
+            answer.may_reach_other_incarnation = !kept;
             done(answer);
         };
         send(where, fate, tell,
@@ -181,10 +183,10 @@
             });
     }
     template <class Answer>
-    void wait_for_end(const std::string& id, const hold_order& order, instant end,
+    void wait_for_end(const std::string& id, const renewal_order& order, instant end,
                       const Answer& answer) {
         const sim_fleet::entry& entry = fleet_.workers.at(id);
-        if (!entry.worker->has_end_after(order.noted) && time_.now() < end)
+        if (!entry.worker->has_end_after(order.acknowledged) && time_.now() < end)
             return time_.after(std::chrono::milliseconds(20),
                                [=, this, alive = std::weak_ptr(alive_)] {
                                    if (!alive.expired())
--- a/include/figwinch/simulation/sim_worker.h
+++ b/include/figwinch/simulation/sim_worker.h
@@ -19,7 +19,7 @@
     virtual void on_start(const std::string& worker, const start_order& order, bool late) = 0;
     virtual void on_end(const std::string& worker, const std::string& task, run_number run,
                         run_end how) = 0;
-    virtual void on_noted(const std::string& worker, const ended_row& row) = 0;
+    virtual void on_noted(const std::string& worker, const ended_run& row) = 0;
     /// How long a run takes, and whether it fails; negative: for ever.
     virtual duration length_of(const std::string& task) = 0;
     virtual bool fails(const std::string& task) = 0;
@@ -53,7 +53,7 @@
         answer.outcome = judge_start(order);
         if (answer.outcome == order_outcome::superseded || !answer.clock_ms)
             return answer;
-        extend(order.until_ms);
+        extend(order.start_by_ms);
         if (answer.outcome != order_outcome::done || runs_.contains({order.task, order.run}))
             return answer;
         watch_.on_start(name_, order, late);
@@ -78,7 +78,7 @@
             known->second.stopping = time_.now() + stop_time;
         return answer;
     }
-    order_answer pace(const pace_order& order, bool late) {
+    order_answer pace(const throttle_order& order, bool late) {
         order_answer answer;
         answer.clock_ms = clock_ms();
         if (!take_epoch(order.epoch)) {
@@ -88,37 +88,37 @@
         answer.outcome = order_outcome::done;
         late_paces += late ? 1 : 0;
         if (const auto known = runs_.find({order.task, order.run}); known != runs_.end())
-            repeated_paces +=
-                std::exchange(known->second.ordered_pace, order.percent) == order.percent;
+            repeated_paces += std::exchange(known->second.ordered_pace, order.speed_percent) ==
+                              order.speed_percent;
         time_.after(pace_time, [this, weak = std::weak_ptr(tick_alive_), order] {
             if (weak.expired())
                 return;
             if (const auto known = runs_.find({order.task, order.run}); known != runs_.end())
-                known->second.pace = order.percent;
+                known->second.pace = order.speed_percent;
         });
         return answer;
     }
-    order_outcome hold(const hold_order& order) {
+    order_outcome hold(const renewal_order& order) {
         if (!take_epoch(order.epoch))
             return order_outcome::superseded;
-        if (order.until_ms)
-            extend(*order.until_ms);
-        while (!ended_.empty() && ended_.front().number <= order.noted) {
+        if (order.lease_until_ms)
+            extend(*order.lease_until_ms);
+        while (!ended_.empty() && ended_.front().sequence <= order.acknowledged) {
             // An end that is noted only after the lease has lapsed doesn't count: by then its
             // coordinator may have started the task elsewhere.
-            if (ended_.front().number > lapsed_up_to_)
+            if (ended_.front().sequence > lapsed_up_to_)
                 watch_.on_noted(name_, ended_.front());
             ended_.pop_front();
         }
         return order_outcome::done;
     }
     bool has_end_after(std::uint64_t noted) const {
-        return !ended_.empty() && ended_.back().number > noted;
+        return !ended_.empty() && ended_.back().sequence > noted;
     }
     worker_report report() const {
         worker_report report;
         report.clock_ms = clock_ms();
-        report.born_ms = born_ms();
+        report.incarnation = born_ms();
         for (const auto& [key, run] : runs_)
             report.running.push_back(
                 {key.first, key.second, "", percent(run, time_.now()), recent(key.first, run)});
@@ -128,7 +128,7 @@
     /// A crash and a new life: it runs nothing and knows nothing.
     void reborn() {
         for (const auto& [key, run] : runs_)
-            watch_.on_end(name_, key.first, key.second, run_end::lapsed);
+            watch_.on_end(name_, key.first, key.second, run_end::lease_expired);
         runs_.clear();
         ended_.clear();
         barred_.clear();
@@ -203,15 +203,15 @@
     double filling_cores() const {
         double cores = 0;
         for (const auto& [key, run] : runs_)
-            if (const step_spec& step = watch_.step_of(key.first); step.filling)
+            if (const step_spec& step = watch_.step_of(key.first); step.is_best_effort)
                 cores += static_cast<double>(step.size.cpu_millis * run.pace) / 100'000;
         return cores;
     }
     std::int64_t recent(const std::string& task, const live_run& run) const {
         const step_spec& step = watch_.step_of(task);
-        if (step.tail_target <= duration::zero())
+        if (step.latency_target <= duration::zero())
             return step.size.cpu_millis * run.pace / 100;
-        const auto target_ms = static_cast<double>(step.tail_target.count()) / 1000;
+        const auto target_ms = static_cast<double>(step.latency_target.count()) / 1000;
         return std::llround(target_ms * tail_ratio(filling_cores()));
     }
     bool take_epoch(lease_epoch epoch) {
@@ -223,7 +223,7 @@
     order_outcome judge_start(const start_order& order) {
         if (!take_epoch(order.epoch))
             return order_outcome::superseded;
-        if (order.until_ms <= clock_ms())
+        if (order.start_by_ms <= clock_ms())
             return order_outcome::too_late;
         const auto barred = barred_.find(order.task);
         if (barred != barred_.end() && order.run.value() <= barred->second)
@@ -257,7 +257,7 @@
     }
     std::optional<run_end> end_of(const live_run& of, bool lapsed) const {
         if (lapsed)
-            return run_end::lapsed;
+            return run_end::lease_expired;
         if (of.stopping)
             return time_.now() >= *of.stopping ? std::optional(run_end::stopped) : std::nullopt;
         if (!hangs && of.length >= duration::zero() &&
@@ -284,7 +284,7 @@
     /// Ends before the last lapse of the lease.
     std::uint64_t lapsed_up_to_ = 0;
     std::map<run_key, live_run> runs_;
-    std::deque<ended_row> ended_;
+    std::deque<ended_run> ended_;
     std::map<std::string, std::uint64_t> barred_;
     std::shared_ptr<bool> tick_alive_;
 };
--- a/src/cell/cell_coordinator.cpp
+++ b/src/cell/cell_coordinator.cpp
@@ -36,10 +36,10 @@
     whole_leases_over_ = before.acted_until + over_after(settings_.max_hold);
     for (const auto& [id, worker] : known.workers()) {
         const instant prolonged_until =
-            worker.silent ? std::min(began_, before.prolonged_until) : before.prolonged_until;
+            worker.unresponsive ? std::min(began_, before.prolonged_until) : before.prolonged_until;
         unresolved_[id] = std::max(prolonged_until + over_after(settings_.lease()),
                                    before.acted_until + over_after(start_validity));
-        held_lives_[id] = worker.born_ms;
+        held_lives_[id] = worker.incarnation;
     }
     mark_unresolved();
     slowdowns_.restore(known.slowdowns());
@@ -143,7 +143,9 @@
                 // Members of a gang that ended well are still placed until they have gone.
                 const std::int64_t open = std::int64_t{step.left} - std::int64_t{step.placed};
                 const std::int64_t waiting = step.ready ? std::max<std::int64_t>(0, open) : 0;
-                (step.spec->filling ? filling : step.spec->lasting ? lasting : batch) += waiting;
+                (step.spec->is_best_effort ? filling
+                 : step.spec->is_service   ? lasting
+                                           : batch) += waiting;
             }
         }
     }
--- a/src/cell/cell_coordinator.h
+++ b/src/cell/cell_coordinator.h
@@ -92,10 +92,10 @@
     worker_work* find_worker(const worker_id& id);
 
     // coordinator_reports.cpp
-    void take_ends(worker_work& worker, const std::vector<ended_row>& rows);
+    void take_ends(worker_work& worker, const std::vector<ended_run>& rows);
     void take_running(worker_work& worker, const worker_report& report, instant asked);
-    task_work* task_of(const worker_work& worker, const running_row& row);
-    void take_row(worker_work& worker, const running_row& row, task_work* task);
+    task_work* task_of(const worker_work& worker, const active_run& row);
+    void take_row(worker_work& worker, const active_run& row, task_work* task);
     void drop_missing(worker_work& worker, const worker_report& report, instant asked);
     static std::optional<resources> stray_size(const worker_work& worker,
                                                const worker_report& report,
@@ -154,7 +154,7 @@
     void take_start_answer(const task_name& name, run_number run, const worker_id& worker,
                            const order_answer& answer);
     void give_back(task_work& task, worker_work& worker, std::string_view why, duration rest);
-    void take_end(worker_work& worker, const ended_row& row);
+    void take_end(worker_work& worker, const ended_run& row);
     void take_good_end(task_work& task);
     void take_failure(task_work& task, worker_work& worker, run_number run);
     void note_failure_of(worker_work& worker, const job_id& job);
@@ -258,7 +258,7 @@
     /// Workers that a predecessor may have given tasks and that haven't reported, and when what
     /// they had must be over.
     absl::flat_hash_map<worker_id, instant> unresolved_;
-    worker_marks unresolved_marks_;
+    worker_fingerprints unresolved_marks_;
     /// The lives of workers that predecessors held, and when a whole lease that they brought about
     /// must be over.
     absl::flat_hash_map<worker_id, std::uint64_t> held_lives_;
--- a/src/cell/cell_state.cpp
+++ b/src/cell/cell_state.cpp
@@ -130,7 +130,7 @@
     }
     job_entry& job = jobs_[id];
     job.id = id;
-    job.ordered_to = worker_marks::decode(*record.value);
+    job.ordered_to = worker_fingerprints::decode(*record.value);
 }
 
 void cell_state::apply_worker(const stored_record& record, const worker_id& id) {
--- a/src/cell/coordinator_advice.cpp
+++ b/src/cell/coordinator_advice.cpp
@@ -34,7 +34,7 @@
     if (!task.job->advice)
         return "";
     step_advice& advice = task.step->advice;
-    advice.bind_life(worker.listing.id, worker.born_ms);
+    advice.bind_incarnation(worker.listing.id, worker.born_ms);
     const std::string* const ticket =
         advice.ticket(worker.listing.id, worker.born_ms, with_.time.now());
     return ticket == nullptr ? "" : *ticket;
@@ -51,9 +51,9 @@
         return;
     advice_in_flight_ = true;
     ++counts_.advice_calls;
-    const advice_terms& terms = *job.advice;
+    const advisor_settings& terms = *job.advice;
     const duration patience =
-        terms.decide + terms.each * static_cast<int>(asked.size()) + advice_slack;
+        terms.time_per_call + terms.time_per_worker * static_cast<int>(asked.size()) + advice_slack;
     const task_name name = name_of(task);
     const std::string step = absl::StrCat(job.id.str(), ".", name.occurrence, ".", name.step);
     with_.advisor.ask(step, asked, patience,
@@ -71,9 +71,9 @@
     candidates open;
     for (const auto& [id, worker] : workers_) {
         if (!usable(*worker, job) || !admits(*worker, *task.step) ||
-            !known.is_open(id, worker->born_ms, now))
+            !known.should_ask(id, worker->born_ms, now))
             continue;
-        const double bonus = known.is_good(id) ? known_good_bonus : 0;
+        const double bonus = known.is_allowed(id) ? known_good_bonus : 0;
         open.push_back({worker.get(), score(*worker, *task.step) + bonus});
     }
     std::ranges::sort(open, std::greater{}, &candidate::score);
@@ -101,8 +101,8 @@
               {{"job", name.job.str()},
                {"step", std::int64_t{name.step}},
                {"asked", static_cast<std::int64_t>(asked.size())},
-               {"good", static_cast<std::int64_t>(advice->good.size())}});
-    task->step->advice.take(asked, *advice, task->job->advice->valid, sent);
+               {"good", static_cast<std::int64_t>(advice->allowed.size())}});
+    task->step->advice.apply_answer(asked, *advice, task->job->advice->ticket_validity, sent);
 }
 
 } // namespace figwinch
--- a/src/cell/coordinator_candidates.cpp
+++ b/src/cell/coordinator_candidates.cpp
@@ -93,14 +93,15 @@
         return found.size() < most_candidates && met < most_met;
     });
     if (found.empty() && only_rack.empty() && may_be_vain(job, step))
-        vain_searches_.push_back({job.service, step.image, step.spec->filling, step.spec->size});
+        vain_searches_.push_back(
+            {job.service, step.image, step.spec->is_best_effort, step.spec->size});
     return found;
 }
 
 void cell_coordinator::visit_for(const job_work& job, const step_work& step,
                                  const rack_id& only_rack, const candidate_index::visitor& visit) {
     const step_spec& spec = *step.spec;
-    const std::int64_t least = spec.filling ? 0 : spec.size.cpu_millis;
+    const std::int64_t least = spec.is_best_effort ? 0 : spec.size.cpu_millis;
     if (!only_rack.empty())
         return index_.visit_tagged(job.service, index_.tag("rack " + only_rack.str()), least,
                                    searches_, visit);
@@ -113,16 +114,16 @@
         goes_on = visit(slot);
         return goes_on && ++tagged < most_met_tagged;
     };
-    if (!spec.near_rack.empty())
-        index_.visit_tagged(job.service, index_.tag("rack " + spec.near_rack.str()), least,
+    if (!spec.preferred_rack.empty())
+        index_.visit_tagged(job.service, index_.tag("rack " + spec.preferred_rack.str()), least,
                             searches_, visit_tagged);
-    if (spec.tail_target > duration::zero())
+    if (spec.latency_target > duration::zero())
         index_.visit_tagged(job.service, image_tag(step.image), least, searches_, visit_tagged);
     if (!goes_on)
         return;
     // Lasting tasks that fill are taken wherever their memory fits.
-    const std::int64_t least_left = spec.lasting ? 0 : spec.size.cpu_millis;
-    if (spec.filling)
+    const std::int64_t least_left = spec.is_service ? 0 : spec.size.cpu_millis;
+    if (spec.is_best_effort)
         index_.visit_fill(job.service, least_left, most_met, searches_, visit);
     else
         index_.visit_free(job.service, least, searches_, visit);
@@ -131,8 +132,8 @@
 /// Whether a failed search for one step says that one for another of its kind fails too.
 bool cell_coordinator::may_be_vain(const job_work& job, const step_work& step) {
     const step_spec& spec = *step.spec;
-    return !spec.lasting && !spec.gang && spec.label.empty() && spec.near_rack.empty() &&
-           spec.most_per_worker == 0 && !job.advice;
+    return !spec.is_service && !spec.gang && spec.label.empty() && spec.preferred_rack.empty() &&
+           spec.max_per_worker == 0 && !job.advice;
 }
 
 bool cell_coordinator::is_vain(const job_work& job, const step_work& step) const {
@@ -140,7 +141,7 @@
         return false;
     return std::ranges::any_of(vain_searches_, [&](const vain_search& vain) {
         return vain.service == job.service && vain.image == step.image &&
-               vain.filling == step.spec->filling && fits(vain.size, step.spec->size);
+               vain.filling == step.spec->is_best_effort && fits(vain.size, step.spec->size);
     });
 }
 
@@ -202,7 +203,7 @@
 /// before goes to a worker that has just reported, where there is one. First starts come many at a
 /// time and are spread over all workers.
 bool cell_coordinator::is_surely_there(const worker_work& worker, const task_work& task) const {
-    if (!has_own_record(*task.step->spec) || task.progress.ordered_to.empty())
+    if (!has_own_record(*task.step->spec) || task.progress.assigned_worker.empty())
         return true;
     return worker.unanswered == 0 && with_.time.now() - worker.reported_at < just_reported;
 }
--- a/src/cell/coordinator_jobs.cpp
+++ b/src/cell/coordinator_jobs.cpp
@@ -1,5 +1,5 @@
 #include "cell/cell_coordinator.h"
-#include "cell/job_outlook.h"
+#include "cell/job_estimate.h"
 #include "figwinch/cell/record_codec.h"
 #include "figwinch/observe.h"
 
@@ -28,7 +28,7 @@
     std::vector<duration> ends;
     for (const step_spec& step : spec.steps) {
         duration begin{};
-        for (const std::uint32_t earlier : step.after)
+        for (const std::uint32_t earlier : step.depends_on)
             begin = std::max(begin, ends[earlier]);
         ends.push_back(begin + step.estimate);
     }
@@ -48,7 +48,7 @@
     return std::ranges::any_of(progress.occurrences, [](const auto& occurrence) {
         return std::ranges::any_of(occurrence.second.steps, [](const auto& tasks) {
             return std::ranges::any_of(
-                tasks, [](const task_progress& task) { return !task.ordered_to.empty(); });
+                tasks, [](const task_progress& task) { return !task.assigned_worker.empty(); });
         });
     });
 }
@@ -126,7 +126,7 @@
     for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
         step_work& step = occurrence.steps[s];
         step.spec = &job.spec->steps[s];
-        step.image = slowdowns_.number(step.spec->image);
+        step.image = slowdowns_.number_of(step.spec->image);
         step.occurrence = &occurrence;
         step.number = s;
         step.left = step.spec->tasks;
@@ -149,7 +149,7 @@
     while (job.occurrences_made < job.occurrence_count()) {
         if (job.spec->repeats > 0) {
             const std::int64_t due =
-                job.spec->first_ms + std::int64_t{job.occurrences_made} * job.spec->interval_ms;
+                job.spec->first_due_ms + std::int64_t{job.occurrences_made} * job.spec->interval_ms;
             if (with_.time.wall_now().time_since_epoch().count() < due)
                 return;
         }
@@ -160,7 +160,7 @@
 
 void cell_coordinator::refresh_ready(occurrence_work& occurrence) {
     for (step_work& step : occurrence.steps)
-        step.ready = all_done(occurrence, step.spec->after);
+        step.ready = all_done(occurrence, step.spec->depends_on);
 }
 
 void cell_coordinator::apply_queue(job_work& job) const {
@@ -174,7 +174,7 @@
 }
 
 void cell_coordinator::look_ahead(job_work& job) const {
-    const job_outlook outlook = outlook_of(job, with_.time.now());
+    const job_estimate outlook = estimate_job(job, with_.time.now());
     job.prospect = outlook.prospect;
     job.work_left = outlook.work_left;
 }
--- a/src/cell/coordinator_leases.cpp
+++ b/src/cell/coordinator_leases.cpp
@@ -16,7 +16,7 @@
 void cell_coordinator::expire_leases() {
     const instant now = with_.time.now();
     for (const auto& [id, worker] : workers_) {
-        const auto clock_ms = worker->clock.at_least(now);
+        const auto clock_ms = worker->clock.lower_bound(now);
         const std::int64_t slack = lapse_slack.count() / 1000;
         if (!clock_ms || *clock_ms < worker->latest_until_ms + slack)
             worker->over_since = instant{};
@@ -147,8 +147,8 @@
     if (task.job->any_worker_in_doubt)
         return false;
     if (has_own_record(*task.step->spec))
-        return !unresolved_.contains(task.progress.ordered_to);
-    return !task.job->ordered_to.meets(unresolved_marks_);
+        return !unresolved_.contains(task.progress.assigned_worker);
+    return !task.job->ordered_to.may_intersect(unresolved_marks_);
 }
 
 } // namespace figwinch
--- a/src/cell/coordinator_placement.cpp
+++ b/src/cell/coordinator_placement.cpp
@@ -68,7 +68,7 @@
                                    std::uint64_t most) {
     const bool lasting = turn != task_turn::short_task;
     for (const auto& [job, step] : waiting) {
-        if (step->spec->lasting != lasting || step->placed >= step->left)
+        if (step->spec->is_service != lasting || step->placed >= step->left)
             continue;
         if (step->spec->gang && may_start(step->tasks.front()))
             place_gang(*job, *step);
@@ -91,7 +91,7 @@
     std::optional<candidates> found;
     for (task_work& task : step.tasks) {
         if (task.progress.done || task.where != nullptr || now < task.not_before ||
-            (each && !may_start(task)) || (again && task.progress.ordered_to.empty()))
+            (each && !may_start(task)) || (again && task.progress.assigned_worker.empty()))
             continue;
         if (any_worker && (!found || found->empty()))
             found = search(job, step, rack_id());
@@ -154,7 +154,7 @@
 bool cell_coordinator::admits(const worker_work& worker, const step_work& step) const {
     const step_spec& spec = *step.spec;
     resources size = spec.size;
-    if (spec.filling) {
+    if (spec.is_best_effort) {
         if (!may_fill(worker, step))
             return false;
         size.cpu_millis = 0;
@@ -163,17 +163,17 @@
     if (!worker.strays)
         return false;
     resources room = worker.listing.capacity - worker.taken - *worker.strays;
-    if (!spec.lasting)
+    if (!spec.is_service)
         room -= worker.kept;
     if (!fits(size, room))
         return false;
     if (!spec.label.empty() && std::ranges::count(worker.listing.labels, spec.label) == 0)
         return false;
-    if (spec.most_per_worker == 0)
+    if (spec.max_per_worker == 0)
         return true;
     const auto beside = std::ranges::count_if(
         worker.tasks, [&step](const task_work* other) { return other->step == &step; });
-    return static_cast<std::uint32_t>(beside) < spec.most_per_worker;
+    return static_cast<std::uint32_t>(beside) < spec.max_per_worker;
 }
 
 /// How well a task of the step would do on a worker; higher is better.
@@ -182,16 +182,16 @@
     const resources& capacity = worker.listing.capacity;
     const resources left = capacity - worker.taken;
     double value = 0;
-    if (spec.filling)
+    if (spec.is_best_effort)
         value = score_filling(worker, step);
     else
         value = std::min(share(left.cpu_millis - spec.size.cpu_millis, capacity.cpu_millis),
                          share(left.memory_mib - spec.size.memory_mib, capacity.memory_mib));
-    if (spec.tail_target > duration::zero())
+    if (spec.latency_target > duration::zero())
         value += score_serving(worker, step);
-    if (!spec.near_rack.empty() && worker.listing.rack == spec.near_rack)
+    if (!spec.preferred_rack.empty() && worker.listing.rack == spec.preferred_rack)
         value += near_data_bonus;
-    if (worker.listing.cold_left > duration::zero())
+    if (worker.listing.warmup_left > duration::zero())
         value -= cold_penalty;
     return value;
 }
@@ -200,7 +200,7 @@
 double cell_coordinator::score_serving(const worker_work& worker, const step_work& step) const {
     double difference = 0;
     for (const auto& [image, tasks] : worker.serving)
-        difference = std::max(difference, slowdowns_.difference(image, step.image));
+        difference = std::max(difference, slowdowns_.sensitivity_difference(image, step.image));
     const bool same = worker.serving.contains(step.image);
     return (same ? same_image_bonus * (1 - difference) : 0) - difference * other_image_penalty;
 }
@@ -216,18 +216,18 @@
 bool cell_coordinator::may_fill(const worker_work& worker, const step_work& step) const {
     // A task that lasts has to run all the time, if slowly: others of its kind that have taken the
     // processors never end, and it would wait for ever.
-    if (step.spec->lasting)
+    if (step.spec->is_service)
         return true;
     if (left_to_fill(worker) < step.spec->size.cpu_millis)
         return false;
-    if (!worker.sharing.admits_filling(with_.time.now()))
+    if (!worker.sharing.admits_best_effort(with_.time.now()))
         return false;
     const double more = share(step.spec->size.cpu_millis, worker.listing.capacity.cpu_millis);
     return std::ranges::all_of(worker.serving, [&](const auto& group) {
         const image_number served = group.first;
-        const double expected = slowdowns_.slowdown_of(served, worker.filling_images) +
+        const double expected = slowdowns_.total_slowdown(served, worker.filling_images) +
                                 slowdowns_.slowdown(served, step.image) * more;
-        return expected <= slowdowns_.usual_headroom(served, usual_load_margin, usual_aim);
+        return expected <= slowdowns_.typical_headroom(served, usual_load_margin, usual_aim);
     });
 }
 
@@ -248,7 +248,7 @@
             continue;
         const std::vector<task_work*> tasks(worker->tasks.begin(), worker->tasks.end());
         for (task_work* const task : tasks)
-            if (task->step->spec->lasting)
+            if (task->step->spec->is_service)
                 request_stop(*task);
     }
 }
--- a/src/cell/coordinator_records.cpp
+++ b/src/cell/coordinator_records.cpp
@@ -58,21 +58,21 @@
 /// Lasting tasks must run again soon when a reign ends, and are few: a worker is recorded for each.
 /// Of others the job records all workers that it uses. Members of a gang start and go together.
 bool cell_coordinator::has_own_record(const step_spec& step) {
-    return step.lasting && !step.gang;
+    return step.is_service && !step.gang;
 }
 
 /// Whether the log has it that the task's runs may be on the worker.
 bool cell_coordinator::is_recorded_at(const task_work& task, const worker_work& worker) {
     if (!has_own_record(*task.step->spec))
-        return task.job->recorded_to.may_have(worker.listing.id);
-    return task.recorded && task.progress.ordered_to == worker.listing.id;
+        return task.job->recorded_to.may_contain(worker.listing.id);
+    return task.recorded && task.progress.assigned_worker == worker.listing.id;
 }
 
 /// Has it written that the task's runs may be on the worker.
 void cell_coordinator::note_place(task_work& task, const worker_work& worker) {
     if (!has_own_record(*task.step->spec))
         return mark_widened(*task.job, worker);
-    task.progress.ordered_to = worker.listing.id;
+    task.progress.assigned_worker = worker.listing.id;
     task.recorded = false;
     mark_dirty(*task.job);
 }
--- a/src/cell/coordinator_reports.cpp
+++ b/src/cell/coordinator_reports.cpp
@@ -11,12 +11,12 @@
 
 } // namespace
 
-void cell_coordinator::take_ends(worker_work& worker, const std::vector<ended_row>& rows) {
+void cell_coordinator::take_ends(worker_work& worker, const std::vector<ended_run>& rows) {
     const std::uint64_t seen_before = worker.seen;
-    for (const ended_row& row : rows) {
-        if (row.number <= worker.seen)
+    for (const ended_run& row : rows) {
+        if (row.sequence <= worker.seen)
             continue;
-        worker.seen = row.number;
+        worker.seen = row.sequence;
         take_end(worker, row);
     }
     if (worker.seen == seen_before)
@@ -41,7 +41,7 @@
     worker.wants_names = false;
     std::vector<const task_work*> shown;
     shown.reserve(report.running.size());
-    for (const running_row& row : report.running) {
+    for (const active_run& row : report.running) {
         task_work* const task = task_of(worker, row);
         shown.push_back(task);
         if (task == nullptr && row.task.empty()) {
@@ -58,7 +58,7 @@
 
 /// The task that a row of a worker's report names. Nearly all rows are of runs that are known to be
 /// there, which needs no look-up by name.
-task_work* cell_coordinator::task_of(const worker_work& worker, const running_row& row) {
+task_work* cell_coordinator::task_of(const worker_work& worker, const active_run& row) {
     task_work* found = nullptr;
     for (task_work* const task : worker.tasks) {
         if (task->run.number != row.run)
@@ -76,7 +76,7 @@
     return name ? find_task(*name) : nullptr;
 }
 
-void cell_coordinator::take_row(worker_work& worker, const running_row& row, task_work* task) {
+void cell_coordinator::take_row(worker_work& worker, const active_run& row, task_work* task) {
     const instant now = with_.time.now();
     const bool wanted = task != nullptr && task->job->phase == job_phase::open &&
                         !task->progress.done && task->where == nullptr;
@@ -91,7 +91,7 @@
         task->run.settled_at = now;
         task->job->begun = true;
         // What it was paced to isn't told.
-        if (task->step->spec->filling)
+        if (task->step->spec->is_best_effort)
             task->run.pace_set = task_run::pace_unknown;
         bind(*task, worker);
         // The next successor looks for it where the log says.
@@ -108,8 +108,8 @@
     run.may_live_until_ms = 0;
     if (run.now == task_run::phase::starting)
         run.now = task_run::phase::running;
-    note_progress(run, row.percent);
-    run.recent = row.recent;
+    note_progress(run, row.progress_percent);
+    run.recent = row.latency_ms_or_cpu_millis;
     if (!row.checkpoint.empty())
         run.checkpoint = row.checkpoint;
 }
@@ -149,7 +149,7 @@
         if (task->where == &worker && task->run.number == report.running[index].run)
             continue;
         resources size = task->step->spec->size;
-        size.cpu_millis = task->step->spec->filling ? 0 : size.cpu_millis;
+        size.cpu_millis = task->step->spec->is_best_effort ? 0 : size.cpu_millis;
         sum += size;
     }
     return sum;
--- a/src/cell/coordinator_room.cpp
+++ b/src/cell/coordinator_room.cpp
@@ -43,12 +43,12 @@
     for (const job_work* const job : order_)
         for (const auto& [number, occurrence] : job->occurrences)
             for (const step_work& step : occurrence->steps) {
-                if (!step.spec->lasting || step.spec->filling || !step.ready ||
+                if (!step.spec->is_service || step.spec->is_best_effort || !step.ready ||
                     step.placed >= step.left)
                     continue;
                 for (const task_work& task : step.tasks)
                     if (task.where == nullptr && !task.progress.done &&
-                        !task.progress.ordered_to.empty())
+                        !task.progress.assigned_worker.empty())
                         waiting.push_back(&task);
             }
     return waiting;
--- a/src/cell/coordinator_runs.cpp
+++ b/src/cell/coordinator_runs.cpp
@@ -44,7 +44,7 @@
     worker_work& worker = *task.where;
     const run_number run = task.run.number;
     const std::string& checkpoint = task.run.checkpoint;
-    const std::int64_t clock_ms = worker.clock.at_least(now).value_or(0);
+    const std::int64_t clock_ms = worker.clock.lower_bound(now).value_or(0);
     task.run.ordered_at = now;
     task.run.seen_at = now;
     task.run.start_until_ms = clock_ms + start_validity.count() / 1000;
@@ -54,7 +54,7 @@
     const task_name name = name_of(task);
     start_order order{to_string(name),         run,    task.job->spec->payload, checkpoint,
                       task.run.start_until_ms, epoch_, ticket_for(task, worker)};
-    order.born_ms = worker.born_ms;
+    order.incarnation = worker.born_ms;
     order.still_wanted = [this, weak = std::weak_ptr(alive_), name, run, id = worker.listing.id,
                           born_ms = worker.born_ms] {
         return !weak.expired() && !deposed_ && is_start_wanted(name, run, id, born_ms);
@@ -98,7 +98,7 @@
     if (task == nullptr || worker == nullptr || task->where != worker || task->run.number != run)
         return;
     task_run& state = task->run;
-    if (!answer.may_reach_other_life)
+    if (!answer.may_reach_other_incarnation)
         state.may_live_until_ms = 0;
     switch (answer.outcome) {
     case order_outcome::done:
@@ -111,7 +111,7 @@
         log_event(log_level::warn, "start_unanswered",
                   {{"task", to_string(name)},
                    {"worker", id.str()},
-                   {"may_reach_other_life", answer.may_reach_other_life}});
+                   {"may_reach_other_life", answer.may_reach_other_incarnation}});
         worker->rest_until = now + rest_after_refusal;
         if (state.now == task_run::phase::running)
             state.settled_at = now;
@@ -137,10 +137,10 @@
     worker.serving.clear();
     for (const task_work* const task : worker.tasks) {
         const step_spec& spec = *task->step->spec;
-        if (spec.filling)
+        if (spec.is_best_effort)
             worker.filling_images.push_back(
                 {task->step->image, static_cast<double>(spec.size.cpu_millis) / cores});
-        else if (spec.tail_target > duration::zero())
+        else if (spec.latency_target > duration::zero())
             ++worker.serving[task->step->image];
     }
     tag_images(worker);
@@ -167,12 +167,12 @@
     worker.tasks.push_back(&task);
     ++task.step->placed;
     resources taken = spec.size;
-    if (spec.filling) {
+    if (spec.is_best_effort) {
         worker.filling_cpu += spec.size.cpu_millis;
         taken.cpu_millis = 0;
     }
     worker.taken += taken;
-    worker.lasting_cpu += spec.lasting ? taken.cpu_millis : 0;
+    worker.lasting_cpu += spec.is_service ? taken.cpu_millis : 0;
     list_images(worker);
     offer(worker);
 }
@@ -185,12 +185,12 @@
     task.down_since = with_.time.now();
     --task.step->placed;
     resources taken = spec.size;
-    if (spec.filling) {
+    if (spec.is_best_effort) {
         worker.filling_cpu -= spec.size.cpu_millis;
         taken.cpu_millis = 0;
     }
     worker.taken -= taken;
-    worker.lasting_cpu -= spec.lasting ? taken.cpu_millis : 0;
+    worker.lasting_cpu -= spec.is_service ? taken.cpu_millis : 0;
     list_images(worker);
     offer(worker);
     if (!task.run.checkpoint.empty() && !task.progress.done)
@@ -198,15 +198,15 @@
     placement_due_ = true;
 }
 
-void cell_coordinator::take_end(worker_work& worker, const ended_row& row) {
+void cell_coordinator::take_end(worker_work& worker, const ended_run& row) {
     const auto name = parse_task_name(row.task);
     task_work* const task = name ? find_task(*name) : nullptr;
-    if (row.how != run_end::done)
+    if (row.reason != run_end::done)
         log_event(log_level::info, "run_ended",
                   {{"task", row.task},
                    {"run", static_cast<std::int64_t>(row.run.value())},
                    {"worker", worker.listing.id.str()},
-                   {"how", std::string(end_name(row.how))}});
+                   {"how", std::string(end_name(row.reason))}});
     if (task == nullptr)
         return;
     const bool bound_here = task->where == &worker && task->run.number == row.run;
@@ -216,14 +216,14 @@
         release(*task);
         mark_dirty(*task->job);
     }
-    if (row.how == run_end::done) {
+    if (row.reason == run_end::done) {
         worker.failures_in_row = 0;
         if (bound_here)
             note_whole_time(*task);
-        if (!task->step->spec->lasting)
+        if (!task->step->spec->is_service)
             take_good_end(*task);
     }
-    if (row.how == run_end::failed)
+    if (row.reason == run_end::failed)
         take_failure(*task, worker, row.run);
 }
 
@@ -247,7 +247,7 @@
     std::rotate(task.failed_on.begin(), task.failed_on.end() - 1, task.failed_on.end());
     task.failed_on.front() = worker.listing.id;
     mark_dirty(*task.job);
-    if (task.step->spec->lasting)
+    if (task.step->spec->is_service)
         return;
     failed.push_back(run);
     task.not_before = with_.time.now() + pause_per_failure * static_cast<int>(failed.size());
--- a/src/cell/coordinator_sharing.cpp
+++ b/src/cell/coordinator_sharing.cpp
@@ -23,9 +23,11 @@
     std::string tasks;
     for (const task_work* const task : worker.tasks) {
         const step_spec& spec = *task->step->spec;
-        const char* const kind = spec.lasting ? "lasting" : spec.filling ? "filling" : "batch";
+        const char* const kind = spec.is_service       ? "lasting"
+                                 : spec.is_best_effort ? "filling"
+                                                       : "batch";
         absl::StrAppend(&tasks, kind, ":", spec.image, ":", spec.size.cpu_millis, ":",
-                        task->run.recent, ":", spec.tail_target.count() / 1000, ":",
+                        task->run.recent, ":", spec.latency_target.count() / 1000, ":",
                         task->run.percent, ":", task->run.pace_set, " ");
     }
     log_event(log_level::debug, "sharing",
@@ -37,20 +39,20 @@
 void cell_coordinator::share_processors(worker_work& worker) {
     const auto cores = static_cast<double>(worker.listing.capacity.cpu_millis);
     std::vector<serving_view> serving;
-    std::vector<filling_view> filling;
+    std::vector<best_effort_view> filling;
     std::vector<task_work*> filling_tasks;
     for (task_work* const task : worker.tasks) {
         const step_spec& spec = *task->step->spec;
         if (!is_at_work(worker, task->run))
             continue;
-        if (spec.filling) {
+        if (spec.is_best_effort) {
             filling.push_back(
                 {task->step->image, static_cast<double>(spec.size.cpu_millis) / cores});
             filling_tasks.push_back(task);
-        } else if (spec.tail_target > duration::zero() && task->run.recent > 0) {
+        } else if (spec.latency_target > duration::zero() && task->run.recent > 0) {
             const double tail_us = static_cast<double>(task->run.recent) * 1000.0;
             serving.push_back({task->step->image,
-                               tail_us / static_cast<double>(spec.tail_target.count()),
+                               tail_us / static_cast<double>(spec.latency_target.count()),
                                &task->run.load, &task->run.tail});
         }
     }
@@ -59,7 +61,7 @@
     learn_slowdowns(worker, serving);
     worker.sharing.decide(slowdowns_, serving, filling, with_.time.now());
     for (std::size_t index = 0; index < filling.size(); ++index) {
-        filling_tasks[index]->run.pace_wanted = filling[index].percent;
+        filling_tasks[index]->run.pace_wanted = filling[index].speed_percent;
         send_pace(*filling_tasks[index]);
     }
 }
@@ -70,11 +72,11 @@
     std::vector<image_share> beside;
     double busy = static_cast<double>(worker.lasting_cpu) * lasting_use / cores;
     for (const task_work* const task : worker.tasks) {
-        if (task->step->spec->lasting)
+        if (task->step->spec->is_service)
             continue;
         const double share = static_cast<double>(task->run.recent) / cores;
         busy += share;
-        if (task->step->spec->filling)
+        if (task->step->spec->is_best_effort)
             beside.push_back({task->step->image, share});
     }
     // Where processors are short the tails say nothing about the pair.
--- a/src/cell/coordinator_step_down.cpp
+++ b/src/cell/coordinator_step_down.cpp
@@ -27,7 +27,7 @@
 
 /// Until a worker's lease, and each start that no report has shown, is over by the slowest clock.
 std::optional<duration> cell_coordinator::time_left(const worker_work& worker) const {
-    const auto clock_ms = worker.clock.at_least(with_.time.now());
+    const auto clock_ms = worker.clock.lower_bound(with_.time.now());
     if (!clock_ms)
         return std::nullopt;
     std::int64_t until_ms = worker.latest_until_ms;
@@ -57,7 +57,7 @@
 /// Whether the log may name a worker for the task on which no run of it can be.
 bool cell_coordinator::is_surely_not_ordered(const task_work& task) const {
     const bool ordered = task.where != nullptr && !task.run.name.empty();
-    return !ordered && !task.progress.ordered_to.empty() && may_start(task);
+    return !ordered && !task.progress.assigned_worker.empty() && may_start(task);
 }
 
 /// What the predecessor knows of its own orders bounds them closer than the log does. A start that
@@ -75,7 +75,7 @@
     for (auto& [id, until] : unresolved_) {
         const auto held = left.find(id);
         const worker_work* const worker = find_worker(id);
-        const bool reborn = worker != nullptr && is_other_life(id, worker->listing.born_ms);
+        const bool reborn = worker != nullptr && is_other_life(id, worker->listing.incarnation);
         if (held != left.end() && held->second && !reborn)
             until = std::min(until, now + *held->second);
     }
--- a/src/cell/coordinator_stops.cpp
+++ b/src/cell/coordinator_stops.cpp
@@ -93,13 +93,13 @@
     run.pace_sent_at = now;
     ++counts_.paces;
     const task_name name = name_of(task);
-    const pace_order order{to_string(name), run.number, run.pace_wanted, epoch_};
-    with_.orders.pace(task.where->listing, order,
-                      [this, weak = std::weak_ptr(alive_), name, number = run.number,
-                       percent = run.pace_wanted](const order_answer& answer) {
-                          if (!weak.expired() && !deposed_)
-                              take_pace_answer(name, number, percent, answer);
-                      });
+    const throttle_order order{to_string(name), run.number, run.pace_wanted, epoch_};
+    with_.orders.throttle(task.where->listing, order,
+                          [this, weak = std::weak_ptr(alive_), name, number = run.number,
+                           percent = run.pace_wanted](const order_answer& answer) {
+                              if (!weak.expired() && !deposed_)
+                                  take_pace_answer(name, number, percent, answer);
+                          });
 }
 
 void cell_coordinator::take_pace_answer(const task_name& name, run_number number, int percent,
--- a/src/cell/coordinator_stragglers.cpp
+++ b/src/cell/coordinator_stragglers.cpp
@@ -50,7 +50,7 @@
         for (const auto& [number, occurrence] : job->occurrences)
             for (step_work& step : occurrence->steps)
                 // Members of a gang work together; lasting tasks have no end to be late for.
-                if (step.placed > 0 && !step.spec->lasting && !step.spec->gang)
+                if (step.placed > 0 && !step.spec->is_service && !step.spec->gang)
                     move_stragglers_of(step);
 }
 
@@ -59,14 +59,14 @@
     for (const task_work& task : step.tasks)
         if (task.where != nullptr && task.run.now == task_run::phase::running)
             running.push_back(progress_of(task));
-    const std::optional<duration> usual = usual_time(step.whole_times, running);
+    const std::optional<duration> usual = typical_run_time(step.whole_times, running);
     for (task_work& task : step.tasks) {
         if (task.where == nullptr || task.run.now != task_run::phase::running ||
             task.moves >= most_moves)
             continue;
         const run_progress run = progress_of(task);
-        const bool still = stands_still(run);
-        if (still || (usual && is_straggler(run, *usual, step.spec->checkpoints)))
+        const bool still = is_stalled(run);
+        if (still || (usual && is_straggler(run, *usual, step.spec->saves_checkpoints)))
             move_straggler(task, still);
     }
 }
--- a/src/cell/coordinator_view.cpp
+++ b/src/cell/coordinator_view.cpp
@@ -74,7 +74,7 @@
     for (const job_work* const job : order_)
         for (const auto& [number, occurrence] : job->occurrences)
             for (const step_work& step : occurrence->steps)
-                if (step.spec->lasting && step.ready)
+                if (step.spec->is_service && step.ready)
                     waiting += count_down(step, longest);
     if (longest == nullptr)
         return;
--- a/src/cell/coordinator_workers.cpp
+++ b/src/cell/coordinator_workers.cpp
@@ -55,11 +55,11 @@
         worker->listed = true;
         worker->listing = row;
         tag_labels(*worker);
-        const bool other_life = row.born_ms != 0 && worker->born_ms != 0;
-        if (other_life && row.born_ms != worker->born_ms)
+        const bool other_life = row.incarnation != 0 && worker->born_ms != 0;
+        if (other_life && row.incarnation != worker->born_ms)
             worker->unanswered = std::max(worker->unanswered, 1);
         const auto unresolved = unresolved_.find(row.id);
-        if (unresolved != unresolved_.end() && is_other_life(row.id, row.born_ms))
+        if (unresolved != unresolved_.end() && is_other_life(row.id, row.incarnation))
             unresolved->second = std::max(unresolved->second, whole_leases_over_);
     }
     for (const auto& [id, worker] : workers_)
@@ -85,33 +85,33 @@
 
 void cell_coordinator::hold(worker_work& worker) {
     const instant now = with_.time.now();
-    hold_order order;
+    renewal_order order;
     order.epoch = epoch_;
-    order.seen = worker.seen;
-    order.born_ms = worker.born_ms;
-    order.names = worker.wants_names;
+    order.received = worker.seen;
+    order.incarnation = worker.born_ms;
+    order.require_names = worker.wants_names;
     // After a silence another life may answer, whose own ends count from 1 again: it must not
     // forget ends that only the earlier life's were noted up to.
-    order.noted = worker.unanswered == 0 ? worker.noted : 0;
+    order.acknowledged = worker.unanswered == 0 ? worker.noted : 0;
     // Prolonging the lease of a worker that doesn't answer would keep the tasks on it out of reach:
     // the order may still arrive, and then they live on unseen.
-    const auto clock_ms = worker.clock.at_least(now);
+    const auto clock_ms = worker.clock.lower_bound(now);
     if (clock_ms && !worker.silent && worker.unanswered == 0) {
-        order.until_ms = *clock_ms + lease_to_ask(now).count() / 1000;
-        worker.latest_until_ms = std::max(worker.latest_until_ms, *order.until_ms);
+        order.lease_until_ms = *clock_ms + lease_to_ask(now).count() / 1000;
+        worker.latest_until_ms = std::max(worker.latest_until_ms, *order.lease_until_ms);
         const bool shared = worker.filling_cpu > 0 && worker.lasting_cpu > 0;
-        order.wait = worker.noted < worker.seen ? duration::zero()
-                     : shared                   ? shared_wait
-                                                : quiet_wait;
+        order.max_wait = worker.noted < worker.seen ? duration::zero()
+                         : shared                   ? shared_wait
+                                                    : quiet_wait;
     }
     worker.hold_in_flight = true;
     ++counts_.holds;
-    with_.orders.hold(worker.listing, order,
-                      [this, weak = std::weak_ptr(alive_), id = worker.listing.id,
-                       asked = now](order_outcome outcome, const worker_report& report) {
-                          if (!weak.expired() && !deposed_)
-                              take_report(id, asked, outcome, report);
-                      });
+    with_.orders.renew_lease(worker.listing, order,
+                             [this, weak = std::weak_ptr(alive_), id = worker.listing.id,
+                              asked = now](order_outcome outcome, const worker_report& report) {
+                                 if (!weak.expired() && !deposed_)
+                                     take_report(id, asked, outcome, report);
+                             });
 }
 
 /// Shorter the longer the log hasn't confirmed this reign: a successor takes it that no lease ends
@@ -138,13 +138,13 @@
     worker->unanswered = 0;
     if (worker->silent)
         end_silence(*worker);
-    if (worker->born_ms != report.born_ms)
+    if (worker->born_ms != report.incarnation)
         start_new_life(*worker, report);
     worker->clock.observe(report.clock_ms, now);
     // A predecessor may have held it until this moment, but not after: its orders are refused now.
     if (!std::exchange(worker->heard, true))
         worker->latest_until_ms =
-            report.clock_ms + longest_held_before(id, report.born_ms).count() / 1000;
+            report.clock_ms + longest_held_before(id, report.incarnation).count() / 1000;
     resolve(id);
     take_ends(*worker, report.ended);
     take_running(*worker, report, asked);
@@ -176,7 +176,7 @@
 void cell_coordinator::start_new_life(worker_work& worker, const worker_report& report) {
     if (worker.born_ms != 0)
         log_event(log_level::info, "worker_reborn", {{"worker", worker.listing.id.str()}});
-    worker.born_ms = report.born_ms;
+    worker.born_ms = report.incarnation;
     worker.clock = {};
     // Orders that were on their way to the earlier life may reach this one.
     worker.heard = false;
--- a/src/cell/job_outlook.cpp
+++ b/src/cell/job_estimate.cpp
@@ -1,4 +1,4 @@
-#include "cell/job_outlook.h"
+#include "cell/job_estimate.h"
 
 #include <algorithm>
 #include <tuple>
@@ -7,14 +7,14 @@
 namespace {
 
 // A job that takes longer than this many times its objective is of no use to its caller any more.
-constexpr int useful_objectives = 3;
-constexpr int whole = 100;
-constexpr std::size_t least_samples = 3;
+constexpr int max_useful_factor = 3;
+constexpr int complete_percent = 100;
+constexpr std::size_t min_samples = 3;
 
 /// The median run time of the step's finished tasks, or the submitter's estimate while there are
 /// too few of them.
-duration expected_time(const step_work& step) {
-    if (step.whole_times.size() < least_samples)
+duration expected_run_time(const step_work& step) {
+    if (step.whole_times.size() < min_samples)
         return step.spec->estimate;
     std::vector<duration> times = step.whole_times;
     const auto middle = times.begin() + static_cast<std::ptrdiff_t>(times.size() / 2);
@@ -31,7 +31,8 @@
     duration longest{};
     for (const task_work& task : step.tasks)
         if (!task.progress.done)
-            longest = std::max(longest, expected * (whole - task.run.percent) / whole);
+            longest = std::max(longest,
+                               expected * (complete_percent - task.run.percent) / complete_percent);
     return longest;
 }
 
@@ -42,27 +43,28 @@
 
 } // namespace
 
-job_outlook outlook_of(const job_work& job, instant now) {
-    job_outlook outlook;
-    duration chain{};
+job_estimate estimate_job(const job_work& job, instant now) {
+    job_estimate result;
+    duration critical_path{};
     for (const auto& [number, occurrence] : job.occurrences) {
         std::vector<duration> ends;
         for (const step_work& step : occurrence->steps) {
-            const duration expected = expected_time(step);
-            outlook.work_left += core_seconds_left(step, expected);
+            const duration expected = expected_run_time(step);
+            result.work_left += core_seconds_left(step, expected);
             duration begin{};
-            for (const std::uint32_t earlier : step.spec->after)
+            for (const std::uint32_t earlier : step.spec->depends_on)
                 begin = std::max(begin, ends[earlier]);
             ends.push_back(begin + time_left(step, expected));
-            chain = std::max(chain, ends.back());
+            critical_path = std::max(critical_path, ends.back());
         }
     }
-    const instant end = now + chain;
-    const instant useless = job.came_at + (job.objective_at - job.came_at) * useful_objectives;
-    outlook.prospect = end <= job.objective_at ? job_prospect::in_time
-                       : end <= useless        ? job_prospect::late
-                                               : job_prospect::lost;
-    return outlook;
+    const instant end = now + critical_path;
+    const instant useless_after =
+        job.came_at + (job.objective_at - job.came_at) * max_useful_factor;
+    result.prospect = end <= job.objective_at ? job_prospect::in_time
+                      : end <= useless_after  ? job_prospect::late
+                                              : job_prospect::lost;
+    return result;
 }
 
 bool is_served_before(const job_work& one, const job_work& other) {
--- a/src/cell/job_outlook.h
+++ b/src/cell/job_estimate.h
@@ -5,13 +5,13 @@
 namespace figwinch {
 
 /// The remaining work of an open job, and whether the job can still meet its time objective.
-struct job_outlook {
+struct job_estimate {
     job_prospect prospect = job_prospect::in_time;
     /// The estimated remaining CPU time, in core-seconds.
     double work_left = 0;
 };
 
-job_outlook outlook_of(const job_work& job, instant now);
+job_estimate estimate_job(const job_work& job, instant now);
 
 /// Whether `one` is served before `other`. Orders jobs by priority, then by prospect (in time,
 /// late, lost), then by the remaining work, least first. Under overload, first-come first-served
--- a/src/cell/job_spec.cpp
+++ b/src/cell/job_spec.cpp
@@ -7,41 +7,41 @@
 
 // Limits that keep a single job from exhausting a host's memory. The largest steps in practice have
 // a few dozen tasks.
-constexpr std::size_t most_steps = 100;
-constexpr std::uint32_t most_tasks = 10'000;
-constexpr std::size_t longest_payload = 4'000;
-constexpr std::uint32_t most_repeats = 1'000'000;
+constexpr std::size_t max_steps = 100;
+constexpr std::uint32_t max_tasks = 10'000;
+constexpr std::size_t max_payload_bytes = 4'000;
+constexpr std::uint32_t max_repeats = 1'000'000;
 
-absl::Status bad(std::size_t step, std::string_view what) {
+absl::Status step_error(std::size_t step, std::string_view what) {
     return make_error(
         result_code::invalid_value,
         absl::StrCat("step ", step, ": ", absl::string_view(what.data(), what.size())));
 }
 
-absl::Status check_step(const step_spec& step, std::size_t number) {
-    if (step.tasks == 0 || step.tasks > most_tasks)
-        return bad(number, "the number of tasks must be 1 to 10000");
+absl::Status validate_step(const step_spec& step, std::size_t number) {
+    if (step.tasks == 0 || step.tasks > max_tasks)
+        return step_error(number, "the number of tasks must be 1 to 10000");
     if (any_negative(step.size))
-        return bad(number, "a resource request is negative");
-    for (const std::uint32_t earlier : step.after)
+        return step_error(number, "a resource request is negative");
+    for (const std::uint32_t earlier : step.depends_on)
         if (earlier >= number)
-            return bad(number, "a dependency doesn't refer to an earlier step");
+            return step_error(number, "a dependency doesn't refer to an earlier step");
     return absl::OkStatus();
 }
 
 } // namespace
 
-absl::Status check_job(const job_spec& job) {
-    if (job.steps.empty() || job.steps.size() > most_steps)
+absl::Status validate_job(const job_spec& job) {
+    if (job.steps.empty() || job.steps.size() > max_steps)
         return make_error(result_code::invalid_value, "the number of steps must be 1 to 100");
-    if (job.payload.size() > longest_payload)
+    if (job.payload.size() > max_payload_bytes)
         return make_error(result_code::invalid_value, "the payload is longer than 4000 bytes");
-    if (job.repeats > most_repeats)
+    if (job.repeats > max_repeats)
         return make_error(result_code::invalid_value, "the repeat count is greater than 1000000");
     if (job.repeats > 0 && job.interval_ms < 0)
         return make_error(result_code::invalid_value, "the interval between repeats is negative");
     for (std::size_t number = 0; number < job.steps.size(); ++number)
-        if (absl::Status checked = check_step(job.steps[number], number); !checked.ok())
+        if (absl::Status checked = validate_step(job.steps[number], number); !checked.ok())
             return checked;
     return absl::OkStatus();
 }
--- a/src/cell/job_work.h
+++ b/src/cell/job_work.h
@@ -4,7 +4,7 @@
 #include "cell/step_advice.h"
 #include "cell/task_work.h"
 #include "figwinch/cell/job_spec.h"
-#include "figwinch/cell/worker_marks.h"
+#include "figwinch/cell/worker_fingerprints.h"
 
 #include <map>
 #include <memory>
@@ -55,7 +55,7 @@
     service_id service;
     std::uint32_t priority = 0;
     std::uint32_t attempts = 1;
-    std::optional<advice_terms> advice;
+    std::optional<advisor_settings> advice;
     std::map<std::uint32_t, std::unique_ptr<occurrence_work>> occurrences;
     /// Occurrences below this one have ended; those from `occurrences_made` on aren't due yet.
     std::uint32_t occurrences_ended = 0;
@@ -64,8 +64,8 @@
     job_phase phase = job_phase::open;
     /// Workers to which runs of its short tasks may go (`job_entry::ordered_to`), and those of them
     /// that the log has.
-    worker_marks ordered_to;
-    worker_marks recorded_to;
+    worker_fingerprints ordered_to;
+    worker_fingerprints recorded_to;
     /// `ordered_to` has grown since it was last written.
     bool widened = false;
     /// It had begun when its records named no worker: a version that didn't record them wrote them.
@@ -78,7 +78,7 @@
     instant came_at{};
     /// When its callers want it done, by the submitter's guesses of run times.
     instant objective_at{};
-    /// As last looked at (`outlook_of`): core-seconds.
+    /// As last looked at (`estimate_job`): core-seconds.
     job_prospect prospect = job_prospect::in_time;
     double work_left = 0;
     instant ended_at{};
--- a/src/cell/record_codec.cpp
+++ b/src/cell/record_codec.cpp
@@ -21,19 +21,19 @@
     record.set_memory_mib(step.size.memory_mib);
     record.set_accelerators(step.size.accelerators);
     record.set_estimate_ms(in_ms(step.estimate));
-    record.mutable_after()->Add(step.after.begin(), step.after.end());
+    record.mutable_after()->Add(step.depends_on.begin(), step.depends_on.end());
     record.set_gang(step.gang);
     record.set_one_rack(step.one_rack);
-    record.set_checkpoints(step.checkpoints);
+    record.set_checkpoints(step.saves_checkpoints);
     record.set_copies_allowed(step.copies_allowed);
-    record.set_lasting(step.lasting);
-    record.set_filling(step.filling);
+    record.set_lasting(step.is_service);
+    record.set_filling(step.is_best_effort);
     record.set_label(step.label);
-    record.set_near_rack(step.near_rack.str());
+    record.set_near_rack(step.preferred_rack.str());
     record.set_image(step.image);
-    record.set_most_per_worker(step.most_per_worker);
-    record.set_tail_target_ms(in_ms(step.tail_target));
-    record.set_may_miss(step.may_miss);
+    record.set_most_per_worker(step.max_per_worker);
+    record.set_tail_target_ms(in_ms(step.latency_target));
+    record.set_may_miss(step.disruption_budget);
 }
 
 step_spec read_step(const pb::StepRecord& record) {
@@ -41,19 +41,19 @@
     step.tasks = record.tasks();
     step.size = {record.cpu_millis(), record.memory_mib(), record.accelerators()};
     step.estimate = milliseconds(record.estimate_ms());
-    step.after.assign(record.after().begin(), record.after().end());
+    step.depends_on.assign(record.after().begin(), record.after().end());
     step.gang = record.gang();
     step.one_rack = record.one_rack();
-    step.checkpoints = record.checkpoints();
+    step.saves_checkpoints = record.checkpoints();
     step.copies_allowed = record.copies_allowed();
-    step.lasting = record.lasting();
-    step.filling = record.filling();
+    step.is_service = record.lasting();
+    step.is_best_effort = record.filling();
     step.label = record.label();
-    step.near_rack = rack_id(record.near_rack());
+    step.preferred_rack = rack_id(record.near_rack());
     step.image = record.image();
-    step.most_per_worker = record.most_per_worker();
-    step.tail_target = milliseconds(record.tail_target_ms());
-    step.may_miss = record.may_miss();
+    step.max_per_worker = record.most_per_worker();
+    step.latency_target = milliseconds(record.tail_target_ms());
+    step.disruption_budget = record.may_miss();
     return step;
 }
 
@@ -66,14 +66,14 @@
             done[index / bits_per_byte] = static_cast<char>(done[index / bits_per_byte] | bit);
             continue;
         }
-        if (task.failed_runs.empty() && task.checkpoint.empty() && task.ordered_to.empty())
+        if (task.failed_runs.empty() && task.checkpoint.empty() && task.assigned_worker.empty())
             continue;
         pb::TaskRecord& kept = *record.add_tasks();
         kept.set_index(index);
         for (const run_number run : task.failed_runs)
             kept.add_failed_runs(run.value());
         kept.set_checkpoint(task.checkpoint);
-        kept.set_ordered_to(task.ordered_to.str());
+        kept.set_ordered_to(task.assigned_worker.str());
     }
     record.set_done(std::move(done));
 }
@@ -92,7 +92,7 @@
         for (const std::uint64_t run : kept.failed_runs())
             task.failed_runs.emplace_back(run);
         task.checkpoint = kept.checkpoint();
-        task.ordered_to = worker_id(kept.ordered_to());
+        task.assigned_worker = worker_id(kept.ordered_to());
     }
     return tasks;
 }
@@ -120,7 +120,7 @@
     for (const step_spec& step : job.steps)
         write_step(step, *record.add_steps());
     record.set_repeats(job.repeats);
-    record.set_first_ms(job.first_ms);
+    record.set_first_ms(job.first_due_ms);
     record.set_interval_ms(job.interval_ms);
     record.set_service(job.service.str());
     record.set_priority(job.priority);
@@ -141,7 +141,7 @@
     for (const pb::StepRecord& step : record->steps())
         job.steps.push_back(read_step(step));
     job.repeats = record->repeats();
-    job.first_ms = record->first_ms();
+    job.first_due_ms = record->first_ms();
     job.interval_ms = record->interval_ms();
     job.service = service_id(record->service());
     job.priority = record->priority();
@@ -149,7 +149,7 @@
     job.stretch = record->stretch();
     job.target = milliseconds(record->target_ms());
     job.accepted_at = wall_time(milliseconds(record->accepted_ms()));
-    if (!check_job(job).ok())
+    if (!validate_job(job).ok())
         return std::nullopt;
     return job;
 }
@@ -186,8 +186,8 @@
 
 std::string encode_worker(const worker_entry& worker) {
     pb::WorkerRecord record;
-    record.set_born_ms(worker.born_ms);
-    record.set_silent(worker.silent);
+    record.set_born_ms(worker.incarnation);
+    record.set_silent(worker.unresponsive);
     return record.SerializeAsString();
 }
 
--- a/src/cell/slowdown_model.h
+++ b/src/cell/slowdown_model.h
@@ -49,25 +49,25 @@
 public:
     /// Returns the number of an image and assigns one if necessary. When the maximum number of
     /// images is reached, all further images share the last number.
-    image_number number(const std::string& image);
+    image_number number_of(const std::string& image);
 
     /// Updates the model with one report of a serving task: its ratio of tail latency to latency
     /// target, and the best-effort images that ran next to it at that time.
-    void learn(image_number serving, double tail_ratio, std::span<const image_share> beside,
+    void learn(image_number serving, double tail_ratio, std::span<const image_share> neighbours,
                load_estimate& own, instant now);
 
-    double slowdown(image_number serving, image_number filling) const;
-    double slowdown_of(image_number serving, std::span<const image_share> beside) const;
+    double slowdown(image_number serving, image_number best_effort) const;
+    double total_slowdown(image_number serving, std::span<const image_share> neighbours) const;
     /// The total slowdown (a logarithm) at which the tail latency of a task reaches `aim` times its
     /// target, given the estimate of its own load.
     double headroom(image_number serving, const load_estimate& own, double aim) const;
     /// Like `headroom`, for a task of which only the image is known, at a load of `above_mean` (a
     /// logarithm) above the mean of that image.
-    double usual_headroom(image_number serving, double above_mean, double aim) const;
+    double typical_headroom(image_number serving, double above_mean, double aim) const;
 
     /// How much two serving images differ in their sensitivity to best-effort images, from 0 to 1.
     /// On a worker that runs both, best-effort tasks must be throttled for the more sensitive one.
-    double difference(image_number one, image_number other) const;
+    double sensitivity_difference(image_number one, image_number other) const;
 
     /// Serialises the table, and merges a serialised table into this one. `restore` ignores
     /// malformed records and values.
@@ -90,19 +90,19 @@
         std::vector<pair_estimate> pairs;
     };
     /// The sum and number of the observed slowdowns of one best-effort image.
-    struct filling_column {
+    struct best_effort_column {
         double sum = 0;
         int known = 0;
     };
 
-    static void learn_unloaded(serving_row& row, double tail_ratio);
-    void learn_pair(serving_row& row, const image_share& beside, double error, double total);
-    void set_pair(pair_estimate& pair, image_number filling, double slowdown);
-    double expected(const pair_estimate& pair, image_number filling) const;
+    static void update_low_quantile(serving_row& row, double tail_ratio);
+    void update_pair(serving_row& row, const image_share& neighbour, double error, double total);
+    void set_pair(pair_estimate& pair, image_number best_effort, double slowdown);
+    double expected_slowdown(const pair_estimate& pair, image_number best_effort) const;
 
     absl::flat_hash_map<std::string, image_number> numbers_;
     std::vector<serving_row> rows_;
-    std::vector<filling_column> columns_;
+    std::vector<best_effort_column> columns_;
 };
 
 } // namespace figwinch
--- a/src/cell/straggler.h
+++ b/src/cell/straggler.h
@@ -10,9 +10,9 @@
 /// The progress of a run. Its times are scaled by the speed to which the run is throttled: an hour
 /// at half speed counts as half an hour.
 struct run_progress {
-    duration worked{};
-    /// The part of `worked` since the percentage last changed.
-    duration unchanged{};
+    duration active_time{};
+    /// The part of `active_time` since the percentage last changed.
+    duration time_since_progress{};
     int percent = 0;
     /// The submitter's estimate of the total run time. Often inaccurate.
     duration estimate{};
@@ -20,17 +20,17 @@
 
 /// Whether a run is stalled: its percentage hasn't changed for much longer than one percent has
 /// taken on average so far, and for longer than the interval between reports.
-bool stands_still(const run_progress& run);
+bool is_stalled(const run_progress& run);
 
 /// The median run time of a step's tasks, from the durations of successful runs (`ended`) and the
 /// projected durations of those that have progressed far enough. Nothing if there are too few
 /// samples.
-std::optional<duration> usual_time(std::vector<duration> ended,
-                                   const std::vector<run_progress>& running);
+std::optional<duration> typical_run_time(std::vector<duration> ended,
+                                         const std::vector<run_progress>& running);
 
 /// Whether a run is so slow that the task would finish clearly sooner if it were restarted on
-/// another worker. `saves`: the task saves checkpoints, so that a restart loses only about a second
-/// of work.
-bool is_straggler(const run_progress& run, duration usual, bool saves);
+/// another worker. `saves_checkpoints`: the task saves checkpoints, so that a restart loses only
+/// about a second of work.
+bool is_straggler(const run_progress& run, duration typical, bool saves_checkpoints);
 
 } // namespace figwinch
--- a/src/cell/task_run.h
+++ b/src/cell/task_run.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cell/sharing_control.h"
+#include "cell/throttle_controller.h"
 #include "figwinch/cell/queue_name.h"
 
 #include <cstdint>
--- a/src/cell/task_work.h
+++ b/src/cell/task_work.h
@@ -18,7 +18,7 @@
     step_work* step = nullptr;
     std::uint32_t index = 0;
     task_progress progress;
-    /// The log has `progress.ordered_to`.
+    /// The log has `progress.assigned_worker`.
     bool recorded = false;
     /// The coordinator before has told that no run of it can be anywhere.
     bool not_ordered = false;
--- a/src/cell/sharing_control.h
+++ b/src/cell/throttle_controller.h
@@ -27,12 +27,13 @@
 };
 
 /// A best-effort task on the same worker as the serving tasks.
-struct filling_view {
+struct best_effort_view {
     image_number image = 0;
     /// The share of the worker's CPU that the task uses when it isn't throttled.
-    double full_share = 0;
-    /// Output of `sharing_control::decide`: the speed to which the task is throttled, in percent.
-    int percent = 100;
+    double unthrottled_share = 0;
+    /// Output of `throttle_controller::decide`: the speed to which the task is throttled, in
+    /// percent.
+    int speed_percent = 100;
 };
 
 /// Throttles the best-effort tasks of one worker so that its serving tasks meet their latency
@@ -40,26 +41,26 @@
 /// tolerate. Best-effort tasks are throttled just enough to stay within that, beginning with those
 /// that cause the most slowdown per core. If a target is missed nevertheless for a second, every
 /// best-effort task that may be the cause is paused, and after another second all of them.
-class sharing_control {
+class throttle_controller {
 public:
-    /// Sets `percent` of each element of `filling`.
+    /// Sets `speed_percent` of each element of `best_effort`.
     void decide(const slowdown_model& model, const std::vector<serving_view>& serving,
-                std::vector<filling_view>& filling, instant now);
+                std::vector<best_effort_view>& best_effort, instant now);
 
     /// Whether another best-effort task may start on the worker: no serving task was over its
     /// latency target in the last report, and no best-effort task is paused on behalf of one. This
     /// check is needed because a new task runs at full speed until its first report.
-    bool admits_filling(instant now) const {
-        return !is_over_ && now >= suspects_stopped_until_ && now >= all_stopped_until_;
+    bool admits_best_effort(instant now) const {
+        return !is_over_target_ && now >= suspects_paused_until_ && now >= all_paused_until_;
     }
 
 private:
-    duration time_over(const std::vector<serving_view>& serving, instant now);
+    duration time_over_target(const std::vector<serving_view>& serving, instant now);
 
-    instant over_since_{};
-    bool is_over_ = false;
-    instant suspects_stopped_until_{};
-    instant all_stopped_until_{};
+    instant over_target_since_{};
+    bool is_over_target_ = false;
+    instant suspects_paused_until_{};
+    instant all_paused_until_{};
 };
 
 } // namespace figwinch
--- a/src/cell/worker_clock.cpp
+++ b/src/cell/worker_clock.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 void worker_clock::observe(std::int64_t clock_ms, instant received) {
-    const std::optional<std::int64_t> known = at_least(received);
+    const std::optional<std::int64_t> known = lower_bound(received);
     // Ignore answers that arrive out of order: a later one has already given a better bound.
     if (known && *known >= clock_ms)
         return;
@@ -21,7 +21,7 @@
     received_ = received;
 }
 
-std::optional<std::int64_t> worker_clock::at_least(instant now) const {
+std::optional<std::int64_t> worker_clock::lower_bound(instant now) const {
     if (!clock_ms_)
         return std::nullopt;
     return *clock_ms_ + elapsed_ms(received_, now);
--- a/src/cell/worker_clock.h
+++ b/src/cell/worker_clock.h
@@ -15,7 +15,7 @@
     void observe(std::int64_t clock_ms, instant received);
     /// A time that the worker's clock has certainly reached by `now`, even if it runs as slowly as
     /// `slowest_clock` permits. Nothing before the first answer.
-    std::optional<std::int64_t> at_least(instant now) const;
+    std::optional<std::int64_t> lower_bound(instant now) const;
 
 private:
     std::optional<std::int64_t> clock_ms_;
--- a/src/cell/worker_work.h
+++ b/src/cell/worker_work.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cell/sharing_control.h"
+#include "cell/throttle_controller.h"
 #include "cell/worker_clock.h"
 #include "figwinch/cell/worker_listing.h"
 #include "figwinch/placement/candidate_index.h"
@@ -61,7 +61,7 @@
     /// Failed runs of different jobs without a good end between.
     std::uint32_t failures_in_row = 0;
     job_id last_failed_job;
-    sharing_control sharing;
+    throttle_controller sharing;
     /// For placement: what fills here at full speed, and how many tasks of each image serve here.
     std::vector<image_share> filling_images;
     std::map<image_number, int> serving;
--- a/src/link/link_codec.h
+++ b/src/link/link_codec.h
@@ -10,6 +10,6 @@
 worker_report report_of(const pb::LinkReport& message);
 void put_outcome(order_outcome outcome, pb::LinkResult& result);
 void put_answer(const order_answer& answer, pb::LinkResult& result);
-void put_end(const ended_row& row, pb::LinkEnd& message);
+void put_end(const ended_run& row, pb::LinkEnd& message);
 
 } // namespace figwinch
--- a/src/link/link_lane.cpp
+++ b/src/link/link_lane.cpp
@@ -76,8 +76,8 @@
     message.set_run(order.run.value());
     message.set_payload(payload);
     message.set_checkpoint(order.checkpoint);
-    message.set_until_ms(order.until_ms);
-    message.set_born_ms(order.born_ms);
+    message.set_until_ms(order.start_by_ms);
+    message.set_born_ms(order.incarnation);
     message.set_ticket(order.ticket);
 }
 
@@ -92,7 +92,7 @@
     message.set_run(run.value());
 }
 
-void link_lane::pace(const worker_listing& where, const pace_order& order,
+void link_lane::pace(const worker_listing& where, const throttle_order& order,
                      worker_orders::answer_handler done) {
     const std::uint32_t worker = number_of(where);
     pb::LinkOrder& message = *next_->add_orders();
@@ -101,23 +101,23 @@
     message.set_worker(worker);
     message.set_task(order.task);
     message.set_run(order.run.value());
-    message.set_percent(static_cast<std::uint32_t>(order.percent));
+    message.set_percent(static_cast<std::uint32_t>(order.speed_percent));
 }
 
-void link_lane::hold(const worker_listing& where, const hold_order& order,
-                     worker_orders::hold_handler done) {
+void link_lane::hold(const worker_listing& where, const renewal_order& order,
+                     worker_orders::renewal_handler done) {
     const std::uint32_t worker = number_of(where);
     pb::LinkOrder& message = *next_->add_orders();
     message.set_kind(pb::LinkOrder::HOLD);
     message.set_number(add_open({nullptr, std::move(done)}));
     message.set_worker(worker);
-    if (order.until_ms)
-        message.set_until_ms(*order.until_ms);
-    message.set_noted(order.noted);
-    message.set_wait_ms(static_cast<std::uint32_t>(order.wait / std::chrono::milliseconds(1)));
-    message.set_seen(order.seen);
-    message.set_born_ms(order.born_ms);
-    message.set_names(order.names);
+    if (order.lease_until_ms)
+        message.set_until_ms(*order.lease_until_ms);
+    message.set_noted(order.acknowledged);
+    message.set_wait_ms(static_cast<std::uint32_t>(order.max_wait / std::chrono::milliseconds(1)));
+    message.set_seen(order.received);
+    message.set_born_ms(order.incarnation);
+    message.set_names(order.require_names);
 }
 
 void link_lane::forget(const worker_id& worker) {
--- a/src/link/link_session.cpp
+++ b/src/link/link_session.cpp
@@ -76,7 +76,7 @@
     what.still_wanted = [&time = time_, begun = time_.now()] {
         return time.now() - begun < longest_unsent;
     };
-    what.born_ms = order.born_ms();
+    what.incarnation = order.born_ms();
     orders_.start(to.listing, what, answer_to(order));
 }
 
@@ -85,19 +85,20 @@
 }
 
 void link_server::session::pace(const worker& to, const pb::LinkOrder& order) {
-    orders_.pace(to.listing,
-                 {order.task(), run_number(order.run()), static_cast<int>(order.percent()), epoch_},
-                 answer_to(order));
+    orders_.throttle(
+        to.listing,
+        {order.task(), run_number(order.run()), static_cast<int>(order.percent()), epoch_},
+        answer_to(order));
 }
 
 void link_server::session::hold(const worker& to, const pb::LinkOrder& order) {
-    hold_order what;
+    renewal_order what;
     if (order.has_until_ms())
-        what.until_ms = order.until_ms();
-    what.noted = order.noted();
-    what.wait = std::chrono::milliseconds(order.wait_ms());
+        what.lease_until_ms = order.until_ms();
+    what.acknowledged = order.noted();
+    what.max_wait = std::chrono::milliseconds(order.wait_ms());
     what.epoch = epoch_;
-    orders_.hold(
+    orders_.renew_lease(
         to.listing, what,
         [weak = weak_from_this(), order](order_outcome outcome, const worker_report& report) {
             if (const auto self = weak.lock())
@@ -131,11 +132,11 @@
         return;
     pb::LinkReport& message = *result.mutable_report();
     message.set_clock_ms(report.clock_ms);
-    message.set_born_ms(report.born_ms);
+    message.set_born_ms(report.incarnation);
     put_running(of->second, report, order.names(), message);
-    const bool same_life = report.born_ms == order.born_ms();
-    for (const ended_row& row : report.ended)
-        if (!same_life || row.number > order.seen())
+    const bool same_life = report.incarnation == order.born_ms();
+    for (const ended_run& row : report.ended)
+        if (!same_life || row.sequence > order.seen())
             put_end(row, *message.add_ended());
 }
 
@@ -145,18 +146,18 @@
         of.known_runs.clear();
     absl::flat_hash_set<std::uint64_t> met;
     absl::flat_hash_set<std::uint64_t> shared;
-    for (const running_row& row : report.running)
+    for (const active_run& row : report.running)
         if (!met.insert(row.run.value()).second)
             shared.insert(row.run.value());
-    for (const running_row& row : report.running) {
+    for (const active_run& row : report.running) {
         pb::LinkRun& shown = *message.add_running();
         const std::uint64_t run = row.run.value();
         if (of.known_runs.insert(run).second || names || shared.contains(run))
             shown.set_task(row.task);
         shown.set_run(run);
         shown.set_checkpoint(row.checkpoint);
-        shown.set_percent(static_cast<std::uint32_t>(row.percent));
-        shown.set_recent(row.recent);
+        shown.set_percent(static_cast<std::uint32_t>(row.progress_percent));
+        shown.set_recent(row.latency_ms_or_cpu_millis);
     }
 }
 
--- a/src/link/linked_orders.cpp
+++ b/src/link/linked_orders.cpp
@@ -51,14 +51,15 @@
     with_.direct.stop(where, task, run, epoch, std::move(done));
 }
 
-void linked_orders::pace(const worker_listing& where, const pace_order& order,
-                         answer_handler done) {
+void linked_orders::throttle(const worker_listing& where, const throttle_order& order,
+                             answer_handler done) {
     if (link_lane* const lane = lane_to(where))
         return lane->pace(where, order, std::move(done));
-    with_.direct.pace(where, order, std::move(done));
+    with_.direct.throttle(where, order, std::move(done));
 }
 
-void linked_orders::hold(const worker_listing& where, const hold_order& order, hold_handler done) {
+void linked_orders::renew_lease(const worker_listing& where, const renewal_order& order,
+                                renewal_handler done) {
     link_lane* const lane = lane_to(where);
     auto noted = [this, weak = std::weak_ptr(alive_), id = where.id, by = workers_.at(where.id).by,
                   done = std::move(done)](order_outcome outcome, const worker_report& report) {
@@ -68,7 +69,7 @@
     };
     if (lane != nullptr)
         return lane->hold(where, order, std::move(noted));
-    with_.direct.hold(where, order, std::move(noted));
+    with_.direct.renew_lease(where, order, std::move(noted));
 }
 
 void linked_orders::forget(const worker_id& worker) {
--- a/tests/cell/cell_advice_test.cpp
+++ b/tests/cell/cell_advice_test.cpp
@@ -31,13 +31,13 @@
         return job;
     }
     void begin(std::set<std::string> good) {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         policy().good = std::move(good);
         world_.time().run_for(seconds(2));
     }
     void kept_the_rules() {
-        if (!world_.watch().broken.empty())
-            CPPUNIT_FAIL(world_.watch().broken.front());
+        if (!world_.checker().violations.empty())
+            CPPUNIT_FAIL(world_.checker().violations.front());
     }
     coordinator_view view() {
         return world_.host(*world_.coordinator())->member().coordinating()->view();
@@ -53,7 +53,7 @@
         world_.submit(0, "adv-a", advised(4, 1000));
         world_.time().run_for(seconds(6));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("adv-a"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, world_.checker().starts);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, policy().calls);
         kept_the_rules();
     }
@@ -61,7 +61,7 @@
     /// allowed worker, so that the last ones start after the first ticket has expired.
     void tickets_that_lapsed_are_asked_for_again() {
         begin({"w2"});
-        world_.watch().long_tasks = true;
+        world_.checker().long_tasks = true;
         world_.submit(0, "adv-a", advised(12, 1000));
         world_.time().run_for(seconds(20));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("adv-a"));
@@ -112,13 +112,13 @@
     }
     void calls_name_few_workers() {
         cell_world wide(3, 1, 45);
-        wide.watch().failing = 0;
+        wide.checker().failure_probability = 0;
         wide.fleet().policy.good = {"w44"};
         wide.time().run_for(seconds(2));
         wide.submit(0, "adv-a", advised(1, 1000));
         wide.time().run_for(seconds(6));
         CPPUNIT_ASSERT(wide.fleet().policy.most_named <= 30);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, wide.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, wide.checker().starts);
     }
 };
 
--- a/tests/cell/cell_history.cpp
+++ b/tests/cell/cell_history.cpp
@@ -2,7 +2,7 @@
 
 #include "tests/cell/history_faults.h"
 #include "tests/cell/history_judge.h"
-#include "tests/cell/lasting_rule.h"
+#include "tests/cell/service_downtime_rule.h"
 
 #include <sstream>
 
@@ -69,7 +69,7 @@
         faults_.calm();
         world_.time().run_for(calm_time);
         history_outcome outcome;
-        outcome.starts = world_.watch().starts;
+        outcome.starts = world_.checker().starts;
         outcome.faults_played = fault_count_;
         outcome.fault = history_judge(world_).judge(accepted_);
         return outcome;
@@ -87,16 +87,16 @@
         step_spec step =
             cell_world::make_step(static_cast<std::uint32_t>(1 + world_.draw() % 4),
                                   static_cast<std::int64_t>(300 + world_.draw() % 1200));
-        step.filling = world_.draw() % 5 == 0;
+        step.is_best_effort = world_.draw() % 5 == 0;
         return step;
     }
     void submit(std::size_t index) {
         std::vector<step_spec> steps = {draw_step()};
         if (world_.draw() % 5 == 0)
-            steps.front().lasting = true;
+            steps.front().is_service = true;
         else if (world_.draw() % 2 == 0) {
             steps.push_back(draw_step());
-            steps.back().after = {0};
+            steps.back().depends_on = {0};
         }
         const job_spec job = cell_world::make_job(steps);
         std::ostringstream id;
@@ -105,7 +105,7 @@
         if (world_.draw() % 6 == 0)
             world_.time().after(world_.draw_time(seconds(6)), [this, id = id.str()] {
                 const std::size_t host = draw_host();
-                if (world_.host(host) == nullptr || !world_.watch().jobs.contains(id))
+                if (world_.host(host) == nullptr || !world_.checker().jobs.contains(id))
                     return;
                 lasting_.leave(id);
                 world_.cancel(host, id);
@@ -119,8 +119,8 @@
             return;
         }
         const auto told = world_.submit(host, id, job);
-        // `lasting_rule` knows the coordinator's own ways to the workers only.
-        if (job.steps.front().lasting && !linked_)
+        // `service_downtime_rule` knows the coordinator's own ways to the workers only.
+        if (job.steps.front().is_service && !linked_)
             lasting_.follow(id, told);
         world_.time().after(milliseconds(3200), [=, this] {
             if (told->has_value() && **told == intake_outcome::stored)
@@ -135,7 +135,7 @@
     bool beside_dark_;
     bool linked_;
     history_faults faults_{world_};
-    lasting_rule lasting_{world_};
+    service_downtime_rule lasting_{world_};
     std::set<std::string> accepted_;
 };
 
--- a/tests/cell/cell_history.h
+++ b/tests/cell/cell_history.h
@@ -13,8 +13,8 @@
 
 /// Plays one random history of a cell: jobs of all kinds, with as many faults as named, some at the
 /// same time; then calm. During it no rule may be broken, that of lasting tasks included
-/// (`lasting_rule`), and after it every job that was accepted has to end, and every lasting task to
-/// run.
+/// (`service_downtime_rule`), and after it every job that was accepted has to end, and every
+/// lasting task to run.
 history_outcome play_history(std::uint64_t seed, std::size_t faults);
 
 } // namespace figwinch::sim
--- a/tests/cell/cell_recovery_test.cpp
+++ b/tests/cell/cell_recovery_test.cpp
@@ -38,7 +38,7 @@
 
     static job_spec lasting(std::uint32_t tasks) {
         step_spec step = cell_world::make_step(tasks, 1000);
-        step.lasting = true;
+        step.is_service = true;
         return cell_world::make_job({step});
     }
     static job_spec short_job(std::uint32_t tasks) {
@@ -48,11 +48,11 @@
         return job + ".0.0." + std::to_string(index);
     }
     void kept_the_rules() {
-        if (!world_.watch().broken.empty())
-            CPPUNIT_FAIL(world_.watch().broken.front());
+        if (!world_.checker().violations.empty())
+            CPPUNIT_FAIL(world_.checker().violations.front());
     }
     void begin() {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         world_.time().run_for(seconds(2));
     }
     std::string phase(const std::string& id) {
@@ -84,7 +84,7 @@
         begin();
         world_.submit(0, "a", lasting(6));
         world_.time().run_for(seconds(2));
-        const std::uint64_t starts = world_.watch().starts;
+        const std::uint64_t starts = world_.checker().starts;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, starts);
         for (int round = 0; round < 3; ++round) {
             const std::size_t first = *world_.coordinator();
@@ -94,7 +94,7 @@
             world_.start_host(first);
             world_.time().run_for(seconds(8));
         }
-        CPPUNIT_ASSERT_EQUAL(starts, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(starts, world_.checker().starts);
         kept_the_rules();
     }
     /// Story: a coordinator is frozen for longer than the others wait. When it wakes it believes
@@ -124,7 +124,7 @@
         world_.unlist_worker("w1");
         world_.time().run_for(milliseconds(5500));
         for (std::uint32_t index = 0; index < 8; ++index)
-            CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
+            CPPUNIT_ASSERT(world_.checker().is_running(task("a", index)));
         kept_the_rules();
     }
     /// Story: the log is away for everybody for 6 s, and a worker is lost meanwhile. What the
@@ -148,7 +148,7 @@
         world_.time().run_for(seconds(7));
         kept_the_rules();
         for (std::uint32_t index = 0; index < 8; ++index)
-            CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
+            CPPUNIT_ASSERT(world_.checker().is_running(task("a", index)));
     }
     /// Story: a coordinator is parted from the log, but not from a worker that nobody else reaches,
     /// and goes on holding that worker's tasks for 5 s. Its successor resigns within a second, as
@@ -180,7 +180,7 @@
     /// task would be started once more than its attempts allow.
     void a_late_failure_of_an_earlier_run_counts() {
         begin();
-        world_.watch().failing = 1;
+        world_.checker().failure_probability = 1;
         world_.submit(0, "a", short_job(1));
         world_.time().run_for(milliseconds(150));
         std::string cut;
@@ -210,7 +210,7 @@
             world_.start_host(first);
             world_.time().run_for(seconds(3));
         }
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, world_.checker().starts);
         kept_the_rules();
     }
     void lasting_tasks_leave_a_worker_that_leaves() {
@@ -221,7 +221,7 @@
         world_.time().run_for(seconds(2));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.fleet().workers.at("w2").worker->running());
         for (std::uint32_t index = 0; index < 8; ++index)
-            CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
+            CPPUNIT_ASSERT(world_.checker().is_running(task("a", index)));
         kept_the_rules();
     }
     void nothing_starts_in_a_data_centre_that_was_taken_out() {
@@ -231,7 +231,7 @@
         world_.time().run_for(milliseconds(500));
         world_.submit(0, "a", short_job(4));
         world_.time().run_for(seconds(5));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world_.checker().starts);
         for (const char* const name : {"out/dc-0", "out/dc-1"})
             world_.store().append(cell_stream::operators, {{name, std::nullopt, 0}}, {});
         world_.time().run_for(seconds(5));
@@ -276,7 +276,7 @@
             world_.host(host)->way_to_workers().cut_from.clear();
         world_.time().run_for(seconds(14));
         for (std::uint32_t index = 0; index < 8; ++index)
-            CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
+            CPPUNIT_ASSERT(world_.checker().is_running(task("a", index)));
         kept_the_rules();
     }
     /// Story: a worker answers and reports, but what runs there gets on no more. Without a look at
@@ -322,7 +322,7 @@
         world_.time().run_for(seconds(6));
         world_.submit(2, "a", short_job(2));
         world_.time().run_for(seconds(6));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.checker().starts);
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("a"));
     }
     /// Story: an append gets no answer, and its repetition is refused: the log is back, but not for
@@ -351,7 +351,7 @@
         for (std::size_t host = 0; host < 3; ++host)
             world_.host(host)->way_to_log().state = sim_log::way::open;
         world_.time().run_for(seconds(6));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world_.checker().starts);
     }
     /// Story: the log doesn't answer. Callers used to be held until just before their deadline of 3
     /// s, and then had no time to ask elsewhere. They are told that the outcome isn't known
@@ -379,7 +379,7 @@
         CPPUNIT_ASSERT(told->has_value());
         CPPUNIT_ASSERT(**told == intake_outcome::stored);
         world_.time().run_for(seconds(6));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.checker().starts);
     }
     void members_of_a_gang_start_together() {
         begin();
@@ -387,11 +387,11 @@
         step.gang = true;
         world_.submit(0, "a", cell_world::make_job({step}));
         world_.time().run_for(milliseconds(200));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.checker().starts);
         // It needs nine cores and sixteen are there: a second one has to wait for the first.
         world_.submit(0, "b", cell_world::make_job({step}));
         world_.time().run_for(milliseconds(150));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.checker().starts);
         world_.time().run_for(seconds(6));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("b"));
         kept_the_rules();
--- a/tests/cell/cell_world.h
+++ b/tests/cell/cell_world.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "simulation/sim_host.h"
-#include "tests/cell/rule_watch.h"
+#include "tests/cell/invariant_checker.h"
 
 #include <deque>
 #include <memory>
@@ -20,7 +20,7 @@
                const cell_settings& settings = {}, bool linked = false,
                std::optional<std::size_t> strong = {})
         : settings_(settings), linked_(linked), strong_(strong.value_or(hosts)), random_(seed),
-          watch_(time_, seed + 1) {
+          checker_(time_, seed + 1) {
         store_.append(cell_stream::operators, {{"config", "1", 0}}, {});
         for (std::size_t index = 0; index < workers; ++index)
             add_worker("w" + std::to_string(index));
@@ -34,7 +34,7 @@
     sim_fleet& fleet() { return fleet_; }
     /// Disconnects a host from the other hosts, or reconnects it.
     void cut_from_peers(std::size_t host, bool cut) { peers_.cut(address_of(host), cut); }
-    rule_watch& watch() { return watch_; }
+    invariant_checker& checker() { return checker_; }
     sim_host* host(std::size_t index) { return hosts_.at(index).get(); }
     std::size_t hosts() const { return hosts_.size(); }
     std::uint64_t draw() { return random_(); }
@@ -47,11 +47,11 @@
     void start_host(std::size_t index) {
         hosts_[index] = std::make_unique<sim_host>(
             time_, store_, fleet_, [this] { return draw_share(); },
-            "host-" + std::to_string(index) + "#" + std::to_string(++lives_), settings_,
+            "host-" + std::to_string(index) + "#" + std::to_string(++process_starts_), settings_,
             make_config(), link_of(index));
     }
     void kill_host(std::size_t index) {
-        const auto leading = acting();
+        const auto leading = newest_leader();
         if (!leading || *leading == index)
             coordinator_killed_at_ = time_.now();
         hosts_[index].reset();
@@ -69,7 +69,7 @@
     }
 
     /// Of the hosts that consider themselves the leader, the one with the highest epoch, if any.
-    std::optional<std::size_t> acting() const {
+    std::optional<std::size_t> newest_leader() const {
         std::optional<std::size_t> newest;
         for (std::size_t index = 0; index < hosts_.size(); ++index) {
             if (!hosts_[index] || !hosts_[index]->member().election().leads())
@@ -86,9 +86,9 @@
         entry.listing.service = service_id("s");
         entry.listing.capacity = {4000, 16'384, 0};
         entry.listing.data_centre = data_centre_id("dc-" + std::to_string(random_() % 2));
-        watch_.room[name] = entry.listing.capacity;
-        entry.worker = std::make_unique<sim_worker>(time_, watch_, name, 0.98 + 0.02 * draw_share(),
-                                                    settings_.max_hold);
+        checker_.capacities[name] = entry.listing.capacity;
+        entry.worker = std::make_unique<sim_worker>(time_, checker_, name,
+                                                    0.98 + 0.02 * draw_share(), settings_.max_hold);
         list_worker(name, "ready");
     }
     void list_worker(const std::string& name, const std::string& state) {
@@ -108,7 +108,7 @@
     /// Submits a job through a host. The result is set when the host has answered the caller.
     std::shared_ptr<std::optional<intake_outcome>> submit(std::size_t host, const std::string& id,
                                                           const job_spec& spec) {
-        watch_.jobs[id] = {spec, std::nullopt};
+        checker_.jobs[id] = {spec, std::nullopt};
         return write(host, {{record_key(record_kind::job, id), encode_job(spec), 0}});
     }
     void cancel(std::size_t host, const std::string& id) {
@@ -120,7 +120,7 @@
         return hosts_.at(host)->member().state().find(job_id(id));
     }
     /// The answer of a host that is no read replica to a caller with a timeout of 3 s.
-    std::optional<job_entry> ask(std::size_t host, const std::string& id) {
+    std::optional<job_entry> query_job(std::size_t host, const std::string& id) {
         constexpr duration patience = std::chrono::seconds(3);
         constexpr duration step = std::chrono::milliseconds(1);
         const auto told = std::make_shared<std::optional<job_answer>>();
@@ -171,7 +171,7 @@
             {queue_name("q"), "h", "/q/", service_id("s"), 0, 3, 2, duration{}, std::nullopt});
         config.queues.push_back(
             {queue_name("advised"), "h", "/advised/", service_id("s"), 0, 3, 2, duration{},
-             advice_terms{std::chrono::milliseconds(20), duration{}, sim_policy::validity}});
+             advisor_settings{std::chrono::milliseconds(20), duration{}, sim_policy::validity}});
         config.services.push_back({service_id("s"), false, false});
         return config;
     }
@@ -192,7 +192,7 @@
             if (!told->has_value())
                 return watch_cancel(id, told);
             if (**told == intake_outcome::stored)
-                watch_.jobs.at(id).cancel_stored = time_.now();
+                checker_.jobs.at(id).cancel_stored = time_.now();
         });
     }
 
@@ -204,9 +204,9 @@
     sim_peers peers_{time_};
     sim_store store_;
     sim_fleet fleet_;
-    rule_watch watch_;
+    invariant_checker checker_;
     std::vector<std::unique_ptr<sim_host>> hosts_;
-    int lives_ = 0;
+    int process_starts_ = 0;
     instant coordinator_killed_at_{};
 };
 
--- a/tests/cell/crowded_test.cpp
+++ b/tests/cell/crowded_test.cpp
@@ -30,7 +30,7 @@
         world_.submit(0, "new", lasting(4));
         world_.submit(0, "short", wide(4, seconds(1)));
         world_.time().run_for(seconds(2));
-        CPPUNIT_ASSERT(world_.watch().begun("short.0.0.0"));
+        CPPUNIT_ASSERT(world_.checker().has_started("short.0.0.0"));
         world_.time().run_for(seconds(8));
         all_run("new", 4);
         kept_the_rules();
--- a/tests/cell/fleet_load_test.cpp
+++ b/tests/cell/fleet_load_test.cpp
@@ -46,7 +46,7 @@
         if (!coming_)
             return;
         step_spec second = short_step(8);
-        second.after = {0};
+        second.depends_on = {0};
         if (const auto host = any_host())
             world_.submit(*host, absl::StrCat("short", short_jobs_++),
                           cell_world::make_job({short_step(8), second}));
@@ -54,11 +54,11 @@
     }
     /// Starts the load. The service tasks request 104 of the 160 cores.
     void begin() {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         world_.time().run_for(seconds(3));
         for (std::size_t index = 0; index < lasting_jobs; ++index) {
             step_spec step = cell_world::make_step(lasting_tasks, 1000);
-            step.lasting = true;
+            step.is_service = true;
             world_.submit(index % hosts, lasting_job(index), cell_world::make_job({step}));
         }
         world_.time().run_for(seconds(3));
@@ -70,7 +70,8 @@
         std::size_t running = 0;
         for (std::size_t job = 0; job < lasting_jobs; ++job)
             for (std::uint32_t index = 0; index < lasting_tasks; ++index)
-                running += world_.watch().runs(absl::StrCat(lasting_job(job), ".0.0.", index));
+                running +=
+                    world_.checker().is_running(absl::StrCat(lasting_job(job), ".0.0.", index));
         return running;
     }
     void all_lasting_run_within(duration bound) {
@@ -87,7 +88,7 @@
             if (entry != nullptr && entry->spec)
                 CPPUNIT_ASSERT(entry->phase == job_phase::succeeded);
         }
-        CPPUNIT_ASSERT(world_.watch().broken.empty());
+        CPPUNIT_ASSERT(world_.checker().violations.empty());
     }
     void lose_worker(const std::string& name) {
         world_.fleet().workers.at(name).cut = true;
@@ -110,7 +111,7 @@
         for (std::size_t host = first; host < first + hosts / 3; ++host)
             world_.host(host % hosts)->way_to_log().state = sim_log::way::refused;
         all_lasting_run_within(seconds(9));
-        CPPUNIT_ASSERT(world_.acting().has_value());
+        CPPUNIT_ASSERT(world_.newest_leader().has_value());
         for (std::size_t host = 0; host < hosts; ++host)
             world_.host(host)->way_to_log().state = sim_log::way::open;
         all_lasting_run_within(seconds(6));
@@ -164,9 +165,9 @@
             world_.start_host(host);
         world_.time().run_for(seconds(4));
         CPPUNIT_ASSERT(world_.coordinator().has_value());
-        const std::uint64_t starts = world_.watch().starts;
+        const std::uint64_t starts = world_.checker().starts;
         world_.time().run_for(seconds(2));
-        CPPUNIT_ASSERT(world_.watch().starts > starts);
+        CPPUNIT_ASSERT(world_.checker().starts > starts);
         all_lasting_run_within(seconds(4));
         end();
     }
--- a/tests/cell/history_faults.cpp
+++ b/tests/cell/history_faults.cpp
@@ -44,7 +44,7 @@
 
 void history_faults::play_later(const fault_kind& kind, duration trouble_time) {
     world_.time().after(seconds(2) + world_.draw_time(trouble_time - seconds(4)), [this, kind] {
-        world_.watch().note(kind.name);
+        world_.checker().record_event(kind.name);
         (this->*kind.play)();
     });
 }
@@ -248,11 +248,11 @@
 
 void history_faults::fail_lasting_run() {
     std::vector<std::pair<sim_worker*, std::string>> runs;
-    for (const auto& [job, truth] : world_.watch().jobs)
+    for (const auto& [job, truth] : world_.checker().jobs)
         for (std::uint32_t index = 0; index < truth.spec.steps.front().tasks; ++index)
             for (const auto& [name, entry] : world_.fleet().workers) {
                 const std::string task = to_string(task_name{job_id(job), 0, 0, index});
-                if (truth.spec.steps.front().lasting && !entry.cut && entry.worker->has(task))
+                if (truth.spec.steps.front().is_service && !entry.cut && entry.worker->has(task))
                     runs.emplace_back(entry.worker.get(), task);
             }
     if (runs.empty())
@@ -262,7 +262,7 @@
 }
 
 void history_faults::calm() {
-    world_.watch().failing = 0;
+    world_.checker().failure_probability = 0;
     world_.fleet().late_orders = 0;
     world_.fleet().lost_answers = 0;
     for (std::size_t host = 0; host < world_.hosts(); ++host) {
--- a/tests/cell/history_judge.cpp
+++ b/tests/cell/history_judge.cpp
@@ -4,7 +4,7 @@
 
 template <class Check>
 bool history_judge::all_tasks(const std::string& id, const Check& check) {
-    const job_spec& spec = world_.watch().jobs.at(id).spec;
+    const job_spec& spec = world_.checker().jobs.at(id).spec;
     for (std::uint32_t step = 0; step < spec.steps.size(); ++step)
         for (std::uint32_t index = 0; index < spec.steps[step].tasks; ++index)
             if (!check(to_string(task_name{job_id(id), 0, step, index})))
@@ -13,8 +13,8 @@
 }
 
 std::string history_judge::judge(const std::set<std::string>& accepted) {
-    if (!world_.watch().broken.empty())
-        return world_.watch().broken.front();
+    if (!world_.checker().violations.empty())
+        return world_.checker().violations.front();
     for (const std::string& id : accepted)
         if (std::string fault = judge_job(id); !fault.empty())
             return fault;
@@ -24,7 +24,7 @@
 std::string history_judge::judge_job(const std::string& id) {
     for (std::size_t host = 0; host < world_.hosts(); ++host) {
         const bool asks = !world_.host(host)->member().has_copy();
-        const std::optional<job_entry> asked = asks ? world_.ask(host, id) : std::nullopt;
+        const std::optional<job_entry> asked = asks ? world_.query_job(host, id) : std::nullopt;
         const job_entry* const job = asked ? &*asked : world_.job(host, id);
         if (job == nullptr || !job->spec)
             return "LOST " + id + " at host " + std::to_string(host);
@@ -40,10 +40,10 @@
 /// Whether all steps that a task depends on have ended well.
 bool history_judge::has_turn(const std::string& task) {
     const auto name = parse_task_name(task);
-    const job_spec& spec = world_.watch().jobs.at(name->job.str()).spec;
-    for (const std::uint32_t earlier : spec.steps.at(name->step).after)
+    const job_spec& spec = world_.checker().jobs.at(name->job.str()).spec;
+    for (const std::uint32_t earlier : spec.steps.at(name->step).depends_on)
         for (std::uint32_t index = 0; index < spec.steps.at(earlier).tasks; ++index)
-            if (!world_.watch().ended_well(
+            if (!world_.checker().has_succeeded(
                     to_string(task_name{name->job, name->occurrence, earlier, index})))
                 return false;
     return true;
@@ -54,8 +54,9 @@
 bool history_judge::has_room(const std::string& id) {
     bool room = false;
     all_tasks(id, [&](const std::string& task) {
-        if (has_turn(task) && !world_.watch().ended_well(task) && !world_.watch().runs(task))
-            room = room || world_.watch().has_room_for(task);
+        if (has_turn(task) && !world_.checker().has_succeeded(task) &&
+            !world_.checker().is_running(task))
+            room = room || world_.checker().has_room_for(task);
         return true;
     });
     return room;
@@ -64,15 +65,15 @@
 /// What every task of a job asked for and what became of it.
 std::string history_judge::tell(const std::string& id) {
     std::string story;
-    const job_spec& spec = world_.watch().jobs.at(id).spec;
+    const job_spec& spec = world_.checker().jobs.at(id).spec;
     for (std::uint32_t step = 0; step < spec.steps.size(); ++step)
         for (std::uint32_t index = 0; index < spec.steps[step].tasks; ++index) {
             const std::string task = to_string(task_name{job_id(id), 0, step, index});
             story += "\n " + task + " " + to_string(spec.steps[step].size) +
-                     (spec.steps[step].lasting ? " lasting" : "") +
-                     (world_.watch().ended_well(task) ? " ended well" : "") +
-                     (world_.watch().runs(task) ? " runs" : "");
-            story += world_.watch().story_of(task);
+                     (spec.steps[step].is_service ? " lasting" : "") +
+                     (world_.checker().has_succeeded(task) ? " ended well" : "") +
+                     (world_.checker().is_running(task) ? " runs" : "");
+            story += world_.checker().events_of(task);
         }
     for (std::size_t host = 0; host < world_.hosts(); ++host) {
         const reign& election = world_.host(host)->member().election();
@@ -80,18 +81,18 @@
                  (election.log_answers() ? "" : " without the log") + ", epoch " +
                  std::to_string(election.epoch().value());
     }
-    return story + "\n" + world_.watch().rooms();
+    return story + "\n" + world_.checker().describe_free_resources();
 }
 
 bool history_judge::all_ended_well(const std::string& id) {
-    return all_tasks(id, [this](const auto& task) { return world_.watch().ended_well(task); });
+    return all_tasks(id, [this](const auto& task) { return world_.checker().has_succeeded(task); });
 }
 
 /// A job that lasts stays open; all its tasks have to be at work.
 bool history_judge::all_last(const std::string& id) {
-    if (!world_.watch().jobs.at(id).spec.steps.front().lasting)
+    if (!world_.checker().jobs.at(id).spec.steps.front().is_service)
         return false;
-    return all_tasks(id, [this](const auto& task) { return world_.watch().runs(task); });
+    return all_tasks(id, [this](const auto& task) { return world_.checker().is_running(task); });
 }
 
 } // namespace figwinch::sim
--- a/tests/cell/job_outlook_test.cpp
+++ b/tests/cell/job_estimate_test.cpp
@@ -1,4 +1,4 @@
-#include "cell/job_outlook.h"
+#include "cell/job_estimate.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -10,8 +10,8 @@
 
 /// Tests overload, with more jobs than can be served: which jobs can still meet their time
 /// objective, and in which order jobs are served.
-class job_outlook_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(job_outlook_test);
+class job_estimate_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(job_estimate_test);
     CPPUNIT_TEST(a_job_that_its_longest_chain_fits_is_in_time);
     CPPUNIT_TEST(a_job_that_its_chain_no_longer_fits_is_late);
     CPPUNIT_TEST(a_job_is_lost_after_three_times_its_objective);
@@ -32,7 +32,7 @@
         step.size.cpu_millis = 1000;
         step.estimate = seconds(2);
         spec->steps = {step, step};
-        spec->steps[1].after = {0};
+        spec->steps[1].depends_on = {0};
         job_work job;
         job.spec = spec;
         job.came_at = begin_;
@@ -51,14 +51,14 @@
         return job.occurrences[0]->steps[number];
     }
     job_prospect prospect_after(const job_work& job, duration waited) const {
-        return outlook_of(job, begin_ + waited).prospect;
+        return estimate_job(job, begin_ + waited).prospect;
     }
 
 public:
     void a_job_that_its_longest_chain_fits_is_in_time() {
         const job_work job = make_job();
         CPPUNIT_ASSERT(prospect_after(job, seconds(6)) == job_prospect::in_time);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(16, outlook_of(job, begin_).work_left, 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(16, estimate_job(job, begin_).work_left, 1e-9);
     }
     void a_job_that_its_chain_no_longer_fits_is_late() {
         CPPUNIT_ASSERT(prospect_after(make_job(), seconds(7)) == job_prospect::late);
@@ -71,7 +71,7 @@
         job_work job = make_job();
         step_of(job, 0).left = 0;
         CPPUNIT_ASSERT(prospect_after(job, seconds(8)) == job_prospect::in_time);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(8, outlook_of(job, begin_).work_left, 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(8, estimate_job(job, begin_).work_left, 1e-9);
     }
     void running_tasks_take_what_their_progress_leaves() {
         job_work job = make_job();
@@ -99,7 +99,7 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(job_outlook_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(job_estimate_test);
 
 } // namespace
 } // namespace figwinch
--- a/tests/cell/lasting_recovery_test.cpp
+++ b/tests/cell/lasting_recovery_test.cpp
@@ -34,7 +34,7 @@
         world_.start_host(first);
         world_.time().run_for(longest_down);
         for (std::uint32_t index = 0; index < tasks; ++index)
-            CPPUNIT_ASSERT_MESSAGE(task("a", index), world_.watch().runs(task("a", index)));
+            CPPUNIT_ASSERT_MESSAGE(task("a", index), world_.checker().is_running(task("a", index)));
         kept_the_rules();
     }
 
@@ -56,12 +56,12 @@
         world_.time().run_for(milliseconds(500));
         const std::string failing = task_on("w2", "a", 8);
         worker("w2").fail_run(failing);
-        CPPUNIT_ASSERT(!world_.watch().runs(failing));
+        CPPUNIT_ASSERT(!world_.checker().is_running(failing));
         world_.time().run_for(longest_down);
-        CPPUNIT_ASSERT(world_.watch().runs(failing));
+        CPPUNIT_ASSERT(world_.checker().is_running(failing));
         world_.time().run_for(seconds(12));
         for (std::uint32_t index = 0; index < 8; ++index)
-            CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
+            CPPUNIT_ASSERT(world_.checker().is_running(task("a", index)));
         kept_the_rules();
     }
     /// Story: a worker goes dark, and the coordinator finds it silent. A lasting job comes, and the
@@ -73,7 +73,7 @@
         world_.fleet().workers.at("w1").cut = true;
         run_until([this] {
             const auto row = decode_worker(record(record_kind::worker, "w1"));
-            return row && row->silent;
+            return row && row->unresponsive;
         });
         restart_before_the_first_order();
     }
@@ -106,7 +106,7 @@
             }
         CPPUNIT_ASSERT(!failing.empty());
         world_.time().run_for(longest_down);
-        CPPUNIT_ASSERT(world_.watch().runs(failing));
+        CPPUNIT_ASSERT(world_.checker().is_running(failing));
         kept_the_rules();
     }
     /// Story: a worker goes dark, jobs begin on the others, and the process of the coordinator ends
@@ -120,7 +120,7 @@
         world_.fleet().workers.at("w1").cut = true;
         world_.time().run_for(seconds(3));
         step_spec second = cell_world::make_step(3, 500);
-        second.after = {0};
+        second.depends_on = {0};
         world_.submit(0, "b", cell_world::make_job({cell_world::make_step(3, 500), second}));
         world_.time().run_for(milliseconds(150));
         const std::size_t first = *world_.coordinator();
@@ -129,8 +129,8 @@
         world_.kill_host(first);
         world_.start_host(first);
         world_.time().run_for(longest_to_start);
-        CPPUNIT_ASSERT(world_.watch().begun("b.0.1.0"));
-        CPPUNIT_ASSERT(world_.watch().begun("c.0.0.0"));
+        CPPUNIT_ASSERT(world_.checker().has_started("b.0.1.0"));
+        CPPUNIT_ASSERT(world_.checker().has_started("c.0.0.0"));
         world_.time().run_for(seconds(15));
         kept_the_rules();
     }
--- a/tests/cell/new_life_test.cpp
+++ b/tests/cell/new_life_test.cpp
@@ -85,7 +85,7 @@
         sim_fleet::entry& lost = world_.fleet().workers.at("w1");
         lost.cut = true;
         lost.worker->reborn();
-        lost.listing.born_ms = lost.worker->born_ms();
+        lost.listing.incarnation = lost.worker->born_ms();
         world_.list_worker("w1", "ready");
         world_.time().run_for(seconds(1));
         const std::size_t first = *world_.coordinator();
--- a/tests/cell/pace_test.cpp
+++ b/tests/cell/pace_test.cpp
@@ -14,9 +14,9 @@
 
 /// The service-level objective: best-effort tasks must not keep a serving task over its latency
 /// target for this long.
-constexpr duration longest_harm = seconds(4);
+constexpr duration max_time_over_target = seconds(4);
 /// A best-effort task must not stay paused for this long without reason.
-constexpr duration longest_still = longest_harm;
+constexpr duration max_pause = max_time_over_target;
 constexpr duration step = milliseconds(50);
 constexpr std::uint64_t seeds = 20;
 /// Utilisation of the serving task by its own users' requests. At low load a best-effort task can
@@ -31,34 +31,34 @@
 class shared_cell {
 public:
     explicit shared_cell(std::uint64_t seed, double slowdown_per_core = 1.2) : world_(seed, 3, 1) {
-        world_.watch().failing = 0;
-        world_.watch().filling_length = seconds(120);
+        world_.checker().failure_probability = 0;
+        world_.checker().best_effort_length = seconds(120);
         worker().serving_load = low_load;
         worker().slowdown_per_core = slowdown_per_core;
         world_.time().run_for(seconds(2));
         step_spec serving = cell_world::make_step(1, 1000);
-        serving.lasting = true;
+        serving.is_service = true;
         serving.image = "serving";
-        serving.tail_target = milliseconds(100);
+        serving.latency_target = milliseconds(100);
         world_.submit(0, "s", cell_world::make_job({serving}));
         world_.time().run_for(seconds(2));
-        submit_filling("f", 800);
+        submit_best_effort("f", 800);
         // Lets "f" finish more than a fifth of its work, so that a pause of some seconds doesn't
         // make it a straggler, which would be moved.
         world_.time().run_for(seconds(30));
     }
 
     /// Submits a job with one best-effort task.
-    void submit_filling(const std::string& job, int cpu_millis) {
-        step_spec filling = cell_world::make_step(1, cpu_millis);
-        filling.filling = true;
-        filling.image = "filling";
-        filling.estimate = seconds(120);
-        world_.submit(0, job, cell_world::make_job({filling}));
+    void submit_best_effort(const std::string& job, int cpu_millis) {
+        step_spec best_effort = cell_world::make_step(1, cpu_millis);
+        best_effort.is_best_effort = true;
+        best_effort.image = "filling";
+        best_effort.estimate = seconds(120);
+        world_.submit(0, job, cell_world::make_job({best_effort}));
     }
     void run_for(duration span) { world_.time().run_for(span); }
     void cancel(const std::string& job) { world_.cancel(0, job); }
-    bool begun(const std::string& task) { return world_.watch().begun(task); }
+    bool begun(const std::string& task) { return world_.checker().has_started(task); }
     bool has(const std::string& task) { return worker().has(task); }
 
     sim_worker& worker() { return *world_.fleet().workers.at("w0").worker; }
@@ -78,7 +78,7 @@
         return false;
     }
     /// Raises the load and waits until the best-effort task is paused.
-    void rest() {
+    void pause_best_effort() {
         worker().serving_load = high_load;
         CPPUNIT_ASSERT(run_until([this] { return pace() == 0; }));
         world_.time().run_for(seconds(2));
@@ -92,7 +92,7 @@
     }
     /// Runs for `whole` and returns the longest period for which the best-effort task kept the
     /// serving task over its latency target.
-    duration harm_within(duration whole, bool swinging = false) {
+    duration longest_time_over_target(duration whole, bool swinging = false) {
         duration longest{};
         duration on_end{};
         for (duration span{}; span < whole; span += step) {
@@ -110,7 +110,7 @@
 };
 
 /// Tests that best-effort tasks run at the speed to which the coordinator throttles them, even if
-/// pace orders or their answers are lost or delayed.
+/// throttle orders or their answers are lost or delayed.
 class pace_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(pace_test);
     CPPUNIT_TEST(a_lost_answer_leaves_no_task_too_fast);
@@ -125,17 +125,17 @@
 
     /// Runs a scenario with many seeds. With each of them the serving task must stay within its
     /// objective.
-    template <class Story>
-    static void play(const Story& story) {
-        std::string broken;
+    template <class Scenario>
+    static void run_seeds(const Scenario& scenario) {
+        std::string violations;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             shared_cell cell(seed);
-            const duration harm = story(cell);
-            if (harm >= longest_harm)
-                broken += " " + std::to_string(seed) + " (" +
-                          std::to_string(harm / milliseconds(1)) + " ms)";
+            const duration harm = scenario(cell);
+            if (harm >= max_time_over_target)
+                violations += " " + std::to_string(seed) + " (" +
+                              std::to_string(harm / milliseconds(1)) + " ms)";
         }
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("seeds that violate the objective", std::string(), broken);
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("seeds that violate the objective", std::string(), violations);
     }
 
 public:
@@ -144,14 +144,14 @@
     /// the call times out. The speed must then count as unknown and be ordered again. Without that
     /// the serving task is over its target for the whole 20 s, with it for 0.75 s.
     void a_lost_answer_leaves_no_task_too_fast() {
-        play([](shared_cell& cell) {
-            cell.rest();
+        run_seeds([](shared_cell& cell) {
+            cell.pause_best_effort();
             cell.fleet().lost_pace_answers = 1;
             cell.worker().serving_load = low_load;
             CPPUNIT_ASSERT(cell.run_until([&] { return cell.pace() > 0; }));
             cell.fleet().lost_pace_answers = 0;
             cell.worker().serving_load = high_load;
-            return cell.harm_within(seconds(20));
+            return cell.longest_time_over_target(seconds(20));
         });
     }
     /// Guards against a delayed order to resume a task that is executed after a newer order to
@@ -159,8 +159,8 @@
     /// as an earlier order may still arrive. Without that the serving task is over its target for
     /// up to 18.2 s, with it for at most 1.65 s.
     void an_order_carried_out_late_leaves_no_task_too_fast() {
-        play([](shared_cell& cell) {
-            cell.rest();
+        run_seeds([](shared_cell& cell) {
+            cell.pause_best_effort();
             cell.fleet().late_paces = 1;
             cell.worker().serving_load = low_load;
             const std::uint64_t before = cell.orders();
@@ -168,18 +168,18 @@
             cell.fleet().late_paces = 0;
             CPPUNIT_ASSERT(cell.run_until([&] { return cell.pace() > 0; }));
             cell.worker().serving_load = high_load;
-            const duration harm = cell.harm_within(seconds(20));
+            const duration harm = cell.longest_time_over_target(seconds(20));
             CPPUNIT_ASSERT_EQUAL(1, cell.worker().late_paces);
             return harm;
         });
     }
     /// Guards against long violations of the latency target under a varying load while, for a
-    /// minute, one pace order in five is executed late or gets no answer.
+    /// minute, one throttle order in five is executed late or gets no answer.
     void orders_lost_and_late_harm_no_task() {
-        play([](shared_cell& cell) {
+        run_seeds([](shared_cell& cell) {
             cell.fleet().late_paces = 0.1;
             cell.fleet().lost_pace_answers = 0.1;
-            return cell.harm_within(seconds(60), true);
+            return cell.longest_time_over_target(seconds(60), true);
         });
     }
     /// Guards against a best-effort task that stays paused: during a short rise of the load the
@@ -195,7 +195,7 @@
             CPPUNIT_ASSERT(cell.run_until([&] { return cell.pace() == 0; }));
             cell.fleet().lost_pace_answers = 0;
             cell.worker().serving_load = low_load;
-            cell.harm_within(longest_still);
+            cell.longest_time_over_target(max_pause);
             if (cell.pace() <= 0)
                 still += " " + std::to_string(seed);
         }
@@ -209,7 +209,7 @@
         shared_cell cell(1, harmless);
         cell.worker().serving_load = over_target;
         cell.run_for(seconds(2));
-        cell.submit_filling("g", 400);
+        cell.submit_best_effort("g", 400);
         cell.run_for(seconds(3));
         CPPUNIT_ASSERT(!cell.begun("g.0.0.0"));
         cell.worker().serving_load = low_load;
@@ -218,42 +218,42 @@
     }
     /// Guards against a run that continues at full speed while the order to stop it is delayed.
     void a_run_that_is_being_stopped_harms_no_task() {
-        play([](shared_cell& cell) {
+        run_seeds([](shared_cell& cell) {
             cell.fleet().late_stops = 1;
             cell.cancel("f");
             cell.run_for(milliseconds(100));
             cell.worker().serving_load = high_load;
-            return cell.harm_within(seconds(20));
+            return cell.longest_time_over_target(seconds(20));
         });
     }
     /// Guards against a second best-effort run next to a serving task while the first one is being
     /// stopped: that one continues to run until its end, so its resources aren't free yet.
     void a_new_run_waits_for_one_that_is_being_stopped() {
-        play([](shared_cell& cell) {
+        run_seeds([](shared_cell& cell) {
             cell.fleet().late_stops = 1;
             cell.cancel("f");
-            cell.submit_filling("g", 3000);
+            cell.submit_best_effort("g", 3000);
             const auto either = [&] { return cell.begun("g.0.0.0") || !cell.has("f.0.0.0"); };
             CPPUNIT_ASSERT(cell.run_until(either, longest_doubt));
             CPPUNIT_ASSERT(!cell.has("f.0.0.0"));
-            return cell.harm_within(seconds(20));
+            return cell.longest_time_over_target(seconds(20));
         });
     }
-    /// Guards against superfluous calls to workers. A pace order may equal the previous one only
-    /// after a lost answer, and only until no delayed order can arrive any more.
+    /// Guards against superfluous calls to workers. A throttle order may equal the previous one
+    /// only after a lost answer, and only until no delayed order can arrive any more.
     void a_pace_is_ordered_again_in_doubt_only() {
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             shared_cell cell(seed);
-            cell.harm_within(seconds(30), true);
+            cell.longest_time_over_target(seconds(30), true);
             CPPUNIT_ASSERT(cell.orders() > 0);
             CPPUNIT_ASSERT_EQUAL(0, cell.worker().repeated_paces);
             cell.fleet().lost_pace_answers = 1;
-            cell.harm_within(load_period, true);
+            cell.longest_time_over_target(load_period, true);
             cell.fleet().lost_pace_answers = 0;
-            cell.harm_within(longest_doubt, true);
+            cell.longest_time_over_target(longest_doubt, true);
             const int repeated = cell.worker().repeated_paces;
             CPPUNIT_ASSERT(repeated > 0);
-            cell.harm_within(seconds(30), true);
+            cell.longest_time_over_target(seconds(30), true);
             CPPUNIT_ASSERT_EQUAL(repeated, cell.worker().repeated_paces);
         }
     }
--- a/tests/cell/placement_rules_test.cpp
+++ b/tests/cell/placement_rules_test.cpp
@@ -34,7 +34,7 @@
     }
     static step_spec lasting_step(std::uint32_t tasks, std::int64_t cpu_millis) {
         step_spec step = cell_world::make_step(tasks, cpu_millis);
-        step.lasting = true;
+        step.is_service = true;
         return step;
     }
     void submit(const std::string& id, const step_spec& step) {
@@ -81,15 +81,15 @@
         step_spec step = cell_world::make_step(2, 500);
         step.label = "other";
         submit("a", step);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world_.checker().starts);
         submit("b", cell_world::make_step(2, 500));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.checker().starts);
     }
     /// Guards against more tasks of a step on a worker than it allows, when others are full.
     void tasks_of_a_step_keep_apart() {
         place_workers();
         step_spec step = lasting_step(6, 100);
-        step.most_per_worker = 1;
+        step.max_per_worker = 1;
         submit("a", step);
         CPPUNIT_ASSERT((workers_of("a", 6) == std::vector<std::string>{"w0", "w1", "w2", "w3"}));
         lose("w1");
@@ -101,7 +101,7 @@
     void tasks_of_a_step_keep_apart_through_a_change_of_coordinator() {
         place_workers();
         step_spec step = lasting_step(6, 100);
-        step.most_per_worker = 1;
+        step.max_per_worker = 1;
         submit("a", step);
         change_coordinator();
         CPPUNIT_ASSERT((workers_of("a", 6) == std::vector<std::string>{"w0", "w1", "w2", "w3"}));
@@ -110,7 +110,7 @@
     void tasks_run_near_their_data() {
         place_workers();
         step_spec step = lasting_step(6, 1000);
-        step.near_rack = rack_id("r1");
+        step.preferred_rack = rack_id("r1");
         submit("a", step);
         CPPUNIT_ASSERT((racks_of("a", 6) == std::set<std::string>{"r1"}));
         CPPUNIT_ASSERT_EQUAL(std::size_t{6}, workers_of("a", 6).size());
@@ -119,7 +119,7 @@
     void tasks_run_elsewhere_when_the_rack_of_their_data_is_full() {
         place_workers();
         step_spec step = lasting_step(12, 1000);
-        step.near_rack = rack_id("r1");
+        step.preferred_rack = rack_id("r1");
         submit("a", step);
         all_run("a", 12);
         kept_the_rules();
@@ -149,7 +149,7 @@
         sim_worker& left = worker(before == "r0" ? "w0" : "w2");
         for (std::uint32_t index = 0; index < 7; ++index)
             if (left.has(task("a", index)))
-                left.end_run(task("a", index), run_end::broken);
+                left.end_run(task("a", index), run_end::gang_ended);
         world_.time().run_for(longest_after_loss);
         all_run("a", 7);
         CPPUNIT_ASSERT((racks_of("a", 7) == std::set<std::string>{before == "r0" ? "r1" : "r0"}));
@@ -161,9 +161,9 @@
         step_spec step = cell_world::make_step(9, 1000);
         step.gang = step.one_rack = true;
         submit("a", step);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world_.checker().starts);
         submit("b", cell_world::make_step(4, 1000));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, world_.checker().starts);
     }
 };
 
--- a/tests/cell/reading_load_test.cpp
+++ b/tests/cell/reading_load_test.cpp
@@ -41,7 +41,7 @@
         world_.time().after(milliseconds(50), [this] { keep_coming(); });
     }
     void begin() {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         world_.store().read_rate = read_rate;
         world_.time().run_for(seconds(3));
         keep_coming();
@@ -67,8 +67,8 @@
         return count;
     }
     void kept_the_rules() {
-        if (!world_.watch().broken.empty())
-            CPPUNIT_FAIL(world_.watch().broken.front());
+        if (!world_.checker().violations.empty())
+            CPPUNIT_FAIL(world_.checker().violations.front());
     }
 
 public:
--- a/tests/cell/records_test.cpp
+++ b/tests/cell/records_test.cpp
@@ -31,20 +31,20 @@
         first.size = {1500, 2048, 1};
         first.estimate = std::chrono::milliseconds(700);
         first.label = "gpu";
-        first.near_rack = rack_id("r1-2");
-        first.most_per_worker = 2;
+        first.preferred_rack = rack_id("r1-2");
+        first.max_per_worker = 2;
         step_spec second = first;
-        second.after = {0};
-        second.gang = second.one_rack = second.checkpoints = true;
+        second.depends_on = {0};
+        second.gang = second.one_rack = second.saves_checkpoints = true;
         second.image = "i";
-        second.tail_target = std::chrono::milliseconds(50);
+        second.latency_target = std::chrono::milliseconds(50);
         job_spec job;
         job.queue = queue_name("q");
         job.service = service_id("s");
         job.payload = std::string("bytes \0 of a caller", 19);
         job.steps = {first, second};
         job.repeats = 3;
-        job.first_ms = 1'700'000'000'000;
+        job.first_due_ms = 1'700'000'000'000;
         job.interval_ms = 4500;
         job.attempts = 4;
         job.stretch = 1.5;
@@ -70,7 +70,7 @@
         tasks[0].done = tasks[10].done = true;
         tasks[4].failed_runs = {run_number(77), run_number(5)};
         tasks[4].checkpoint = "c";
-        tasks[3].ordered_to = worker_id("w3");
+        tasks[3].assigned_worker = worker_id("w3");
         progress.occurrences[2].steps = {tasks};
         const auto read = decode_progress(encode_progress(progress));
         CPPUNIT_ASSERT(read.has_value());
@@ -78,29 +78,29 @@
         CPPUNIT_ASSERT(back.at(0).done && back.at(10).done && !back.at(5).done);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, back.at(4).failed_runs.size());
         CPPUNIT_ASSERT_EQUAL(std::string("c"), back.at(4).checkpoint);
-        CPPUNIT_ASSERT(back.at(3).ordered_to == worker_id("w3"));
+        CPPUNIT_ASSERT(back.at(3).assigned_worker == worker_id("w3"));
     }
     void marks_name_all_workers_and_hardly_any_other() {
-        worker_marks marks;
+        worker_fingerprints marks;
         for (int index = 0; index < 400; ++index)
             marks.add(worker_id("w" + std::to_string(index)));
         const std::string bytes = marks.encode();
         CPPUNIT_ASSERT(bytes.size() <= 800);
-        const worker_marks read = worker_marks::decode(bytes);
+        const worker_fingerprints read = worker_fingerprints::decode(bytes);
         CPPUNIT_ASSERT(read == marks);
-        worker_marks one;
-        CPPUNIT_ASSERT(!read.meets(one));
+        worker_fingerprints one;
+        CPPUNIT_ASSERT(!read.may_intersect(one));
         one.add(worker_id("w7"));
-        CPPUNIT_ASSERT(read.meets(one) && one.meets(read));
+        CPPUNIT_ASSERT(read.may_intersect(one) && one.may_intersect(read));
         int others = 0;
         for (int index = 0; index < 10'000; ++index) {
-            const bool named = read.may_have(worker_id("w" + std::to_string(index)));
+            const bool named = read.may_contain(worker_id("w" + std::to_string(index)));
             CPPUNIT_ASSERT(named || index >= 400);
             others += named && index >= 400 ? 1 : 0;
         }
         CPPUNIT_ASSERT(others < 150);
         // Half a mark is left out.
-        CPPUNIT_ASSERT(worker_marks::decode("abc") == worker_marks::decode("ab"));
+        CPPUNIT_ASSERT(worker_fingerprints::decode("abc") == worker_fingerprints::decode("ab"));
     }
     void random_bytes_are_refused_or_bounded() {
         std::mt19937_64 random(11);
@@ -111,7 +111,7 @@
                 bytes[random() % bytes.size()] = static_cast<char>(random());
             bytes.resize(random() % (bytes.size() + 1));
             if (const auto job = decode_job(bytes))
-                CPPUNIT_ASSERT(check_job(*job).ok());
+                CPPUNIT_ASSERT(validate_job(*job).ok());
             decode_progress(bytes);
             decode_worker(bytes);
             decode_reign(bytes);
@@ -129,21 +129,21 @@
     }
     void jobs_out_of_bounds_are_refused() {
         job_spec job = full_job();
-        CPPUNIT_ASSERT(check_job(job).ok());
-        job.steps[1].after = {1};
-        CPPUNIT_ASSERT(code_of(check_job(job)) == result_code::invalid_value);
+        CPPUNIT_ASSERT(validate_job(job).ok());
+        job.steps[1].depends_on = {1};
+        CPPUNIT_ASSERT(code_of(validate_job(job)) == result_code::invalid_value);
         job = full_job();
         job.steps[0].tasks = 0;
-        CPPUNIT_ASSERT(!check_job(job).ok());
+        CPPUNIT_ASSERT(!validate_job(job).ok());
         job = full_job();
         job.steps[0].size.cpu_millis = -1;
-        CPPUNIT_ASSERT(!check_job(job).ok());
+        CPPUNIT_ASSERT(!validate_job(job).ok());
         job = full_job();
         job.steps.clear();
-        CPPUNIT_ASSERT(!check_job(job).ok());
+        CPPUNIT_ASSERT(!validate_job(job).ok());
         job = full_job();
         job.payload.assign(4001, 'x');
-        CPPUNIT_ASSERT(!check_job(job).ok());
+        CPPUNIT_ASSERT(!validate_job(job).ok());
     }
     void older_records_never_undo_newer_ones() {
         cell_state state;
--- a/tests/cell/recovery_fixture.h
+++ b/tests/cell/recovery_fixture.h
@@ -28,7 +28,7 @@
 
     static job_spec lasting(std::uint32_t tasks) {
         step_spec step = cell_world::make_step(tasks, 1000);
-        step.lasting = true;
+        step.is_service = true;
         return cell_world::make_job({step});
     }
     static std::string task(const std::string& job, std::uint32_t index) {
@@ -36,7 +36,7 @@
     }
     sim_worker& worker(const std::string& name) { return *world_.fleet().workers.at(name).worker; }
     void begin() {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         world_.time().run_for(std::chrono::seconds(2));
     }
     /// A lasting task of a job that a worker has.
@@ -69,11 +69,11 @@
     }
     void all_run(const std::string& job, std::uint32_t tasks) {
         for (std::uint32_t index = 0; index < tasks; ++index)
-            CPPUNIT_ASSERT(world_.watch().runs(task(job, index)));
+            CPPUNIT_ASSERT(world_.checker().is_running(task(job, index)));
     }
     void kept_the_rules() {
-        if (!world_.watch().broken.empty())
-            CPPUNIT_FAIL(world_.watch().broken.front());
+        if (!world_.checker().violations.empty())
+            CPPUNIT_FAIL(world_.checker().violations.front());
     }
 
 private:
--- a/tests/cell/reign_readiness_test.cpp
+++ b/tests/cell/reign_readiness_test.cpp
@@ -24,15 +24,15 @@
         return job == nullptr ? "unknown" : to_string(job->phase);
     }
     void kept_the_rules() {
-        if (!world_.watch().broken.empty())
-            CPPUNIT_FAIL(world_.watch().broken.front());
+        if (!world_.checker().violations.empty())
+            CPPUNIT_FAIL(world_.checker().violations.front());
     }
 
 public:
     /// Guards against a cell without a coordinator for as long as one host's load takes, while
     /// hosts that have loaded wait.
     void a_host_that_is_still_loading_doesnt_keep_others_from_coordinating() {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         for (std::size_t host = 0; host < 3; ++host)
             world_.kill_host(host);
         world_.start_host(0);
@@ -50,7 +50,7 @@
     /// Guards against a coordinator that may start nothing and keeps the reign all the same: what
     /// workers write is more than its link carries.
     void a_coordinator_whose_view_stays_old_makes_way() {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         world_.time().run_for(seconds(2));
         const std::size_t first = *world_.coordinator();
         world_.host(first)->way_to_log().unreadable = cell_stream::workers;
--- a/tests/cell/repeats_test.cpp
+++ b/tests/cell/repeats_test.cpp
@@ -30,7 +30,7 @@
         job_spec job = cell_world::make_job(std::move(steps));
         submitted_ms_ = now_ms();
         job.repeats = times;
-        job.first_ms = submitted_ms_ + first_after_ms;
+        job.first_due_ms = submitted_ms_ + first_after_ms;
         job.interval_ms = interval_ms;
         return job;
     }
@@ -41,7 +41,9 @@
     void run_to(std::int64_t after_ms) {
         world_.time().run_for(milliseconds(submitted_ms_ + after_ms - now_ms()));
     }
-    bool begun(std::uint32_t occurrence) { return world_.watch().begun(task_of(occurrence, 0, 0)); }
+    bool begun(std::uint32_t occurrence) {
+        return world_.checker().has_started(task_of(occurrence, 0, 0));
+    }
 
 public:
     /// Guards against occurrences before their time, and against ones that wait for the next look.
@@ -56,19 +58,19 @@
             CPPUNIT_ASSERT(begun(number));
         }
         world_.time().run_for(seconds(3));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.checker().starts);
         kept_the_rules();
     }
     /// Guards against an occurrence that waits for the one before.
     void occurrences_overlap() {
         begin();
         step_spec step = cell_world::make_step(1, 500);
-        step.filling = true;
-        world_.watch().filling_length = seconds(10);
+        step.is_best_effort = true;
+        world_.checker().best_effort_length = seconds(10);
         world_.submit(0, "a", repeated(3, {step}));
         run_to(first_after_ms + 2 * interval_ms + late_ms);
         for (std::uint32_t number = 0; number < 3; ++number)
-            CPPUNIT_ASSERT(world_.watch().runs(task_of(number, 0, 0)));
+            CPPUNIT_ASSERT(world_.checker().is_running(task_of(number, 0, 0)));
         kept_the_rules();
     }
     /// Guards against a successor that counts occurrences from the beginning or forgets some.
@@ -80,8 +82,8 @@
         run_to(first_after_ms + 5 * interval_ms + 6000);
         for (std::uint32_t number = 0; number < 5; ++number)
             for (std::uint32_t index = 0; index < 2; ++index)
-                CPPUNIT_ASSERT(world_.watch().ended_well(task_of(number, 0, index)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, world_.watch().starts);
+                CPPUNIT_ASSERT(world_.checker().has_succeeded(task_of(number, 0, index)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, world_.checker().starts);
         kept_the_rules();
     }
     /// Guards against occurrences that were due while all hosts were away and are left out.
@@ -96,21 +98,21 @@
             world_.start_host(host);
         world_.time().run_for(seconds(10));
         for (std::uint32_t number = 0; number < 3; ++number)
-            CPPUNIT_ASSERT(world_.watch().ended_well(task_of(number, 0, 0)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, world_.watch().starts);
+            CPPUNIT_ASSERT(world_.checker().has_succeeded(task_of(number, 0, 0)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, world_.checker().starts);
         kept_the_rules();
     }
     /// Guards against a step that takes another occurrence's end for its own.
     void steps_of_an_occurrence_keep_their_order() {
         begin();
         step_spec second = cell_world::make_step(2, 500);
-        second.after = {0};
-        world_.watch().long_tasks = true;
+        second.depends_on = {0};
+        world_.checker().long_tasks = true;
         world_.submit(0, "a", repeated(4, {cell_world::make_step(3, 500), second}));
         run_to(first_after_ms + 4 * interval_ms + 6000);
         for (std::uint32_t number = 0; number < 4; ++number)
-            CPPUNIT_ASSERT(world_.watch().ended_well(task_of(number, 1, 1)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, world_.watch().starts);
+            CPPUNIT_ASSERT(world_.checker().has_succeeded(task_of(number, 1, 1)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, world_.checker().starts);
         kept_the_rules();
     }
     void no_occurrence_starts_after_a_cancellation() {
@@ -119,7 +121,7 @@
         run_to(first_after_ms + late_ms);
         world_.cancel(0, "a");
         run_to(first_after_ms + 6 * interval_ms);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world_.checker().starts);
         kept_the_rules();
     }
 };
--- a/tests/cell/resignation_test.cpp
+++ b/tests/cell/resignation_test.cpp
@@ -208,7 +208,7 @@
     /// host. The one that resigned still follows the log; it must leave the job to its successor.
     void a_host_that_has_resigned_orders_nothing_while_it_tries() {
         cell_world world(1, 2, 4);
-        world.watch().failing = 0;
+        world.checker().failure_probability = 0;
         world.time().run_for(seconds(3));
         const std::size_t first = *world.coordinator();
         const std::size_t second = 1 - first;
@@ -219,15 +219,15 @@
             world.time().run_for(milliseconds(10));
             CPPUNIT_ASSERT(world.host(first)->member().coordinating() == nullptr);
         }
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world.checker().starts);
         world.host(first)->way_to_log().state = sim_log::way::open;
         world.time().run_for(retry_period + at_once);
         CPPUNIT_ASSERT(world.coordinator() == second);
         CPPUNIT_ASSERT(world.host(second)->member().election().follows_resignation());
         world.time().run_for(seconds(2));
         CPPUNIT_ASSERT(world.host(first)->member().coordinating() == nullptr);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, world.watch().starts);
-        CPPUNIT_ASSERT(world.watch().broken.empty());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, world.checker().starts);
+        CPPUNIT_ASSERT(world.checker().violations.empty());
     }
 };
 
--- a/tests/cell/lasting_rule.cpp
+++ b/tests/cell/service_downtime_rule.cpp
@@ -1,54 +1,55 @@
-#include "tests/cell/lasting_rule.h"
+#include "tests/cell/service_downtime_rule.h"
 
 #include "figwinch/cell/record_codec.h"
 
 namespace figwinch::sim {
 namespace {
 
-constexpr duration look_period = std::chrono::milliseconds(100);
+constexpr duration check_period = std::chrono::milliseconds(100);
 
 } // namespace
 
-lasting_rule::lasting_rule(cell_world& world) : world_(world) {
+service_downtime_rule::service_downtime_rule(cell_world& world) : world_(world) {
     world_.fleet().on_start_sent = [this](const std::string& worker, const std::string& task) {
-        if (const auto known = standings_.find(task); known != standings_.end())
+        if (const auto known = tasks_.find(task); known != tasks_.end())
             known->second.last_worker = worker;
     };
-    world_.watch().on_short_start = [this](const std::string& worker) {
-        for (auto& [task, state] : standings_)
+    world_.checker().on_batch_start = [this](const std::string& worker) {
+        for (auto& [task, state] : tasks_)
             if (state.down_since && fits_on(worker, task))
                 state.passed_over = true;
     };
-    look();
+    check_all();
 }
 
-void lasting_rule::follow(const std::string& job,
-                          std::shared_ptr<std::optional<intake_outcome>> told) {
-    told_[job] = std::move(told);
-    const job_spec& spec = world_.watch().jobs.at(job).spec;
+void service_downtime_rule::follow(const std::string& job,
+                                   std::shared_ptr<std::optional<intake_outcome>> told) {
+    submissions_[job] = std::move(told);
+    const job_spec& spec = world_.checker().jobs.at(job).spec;
     for (std::uint32_t index = 0; index < spec.steps.front().tasks; ++index)
-        standings_[to_string(task_name{job_id(job), 0, 0, index})];
+        tasks_[to_string(task_name{job_id(job), 0, 0, index})];
 }
 
-void lasting_rule::look() {
-    const auto acting = world_.acting();
-    const bool trouble = trouble_for_all(acting);
-    for (auto& [task, state] : standings_)
-        look_at(task, trouble, acting);
-    world_.time().after(look_period, [this] { look(); });
+void service_downtime_rule::check_all() {
+    const auto acting = world_.newest_leader();
+    const bool trouble = has_cell_wide_fault(acting);
+    for (auto& [task, state] : tasks_)
+        check_task(task, trouble, acting);
+    world_.time().after(check_period, [this] { check_all(); });
 }
 
-bool lasting_rule::is_followed(const std::string& job) const {
-    const auto& told = *told_.at(job);
+bool service_downtime_rule::is_followed(const std::string& job) const {
+    const auto& told = *submissions_.at(job);
     return told && *told == intake_outcome::stored && !cancelled_.contains(job);
 }
 
-void lasting_rule::look_at(const std::string& task, bool trouble,
-                           std::optional<std::size_t> acting) {
-    standing& state = standings_.at(task);
+void service_downtime_rule::check_task(const std::string& task, bool trouble,
+                                       std::optional<std::size_t> acting) {
+    task_state& state = tasks_.at(task);
     const bool passed_over = std::exchange(state.passed_over, false);
-    const bool in_doubt = !state.last_worker.empty() && !reaches(acting, state.last_worker);
-    const bool due = is_followed(parse_task_name(task)->job.str()) && !world_.watch().runs(task);
+    const bool in_doubt = !state.last_worker.empty() && !can_reach(acting, state.last_worker);
+    const bool due =
+        is_followed(parse_task_name(task)->job.str()) && !world_.checker().is_running(task);
     if (!due || trouble || in_doubt || !(passed_over || has_room(task, acting))) {
         state.down_since.reset();
         return;
@@ -57,9 +58,9 @@
     if (!state.down_since)
         state.down_since = now;
     const instant since = std::max(*state.down_since, world_.coordinator_killed_at());
-    if (now - since <= longest_down)
+    if (now - since <= max_downtime)
         return;
-    world_.watch().blame(
+    world_.checker().report_violation(
         "DOWN", task, "'" + state.last_worker + "', recorded on '" + recorded_worker(task) + "'");
     // Report a violation only once per job.
     cancelled_.insert(parse_task_name(task)->job.str());
@@ -67,7 +68,7 @@
 
 /// The worker to which a task is assigned according to the log. The coordinator records it before
 /// it sends the start order.
-std::string lasting_rule::recorded_worker(const std::string& task) {
+std::string service_downtime_rule::recorded_worker(const std::string& task) {
     const auto name = parse_task_name(task);
     const auto& newest = world_.store().of(cell_stream::progress).newest;
     const auto row = newest.find(record_key(record_kind::progress, name->job.str()));
@@ -77,24 +78,24 @@
     if (!progress || !progress->occurrences.contains(name->occurrence))
         return "";
     const auto& steps = progress->occurrences.at(name->occurrence).steps;
-    return steps.at(name->step).at(name->index).ordered_to.str();
+    return steps.at(name->step).at(name->index).assigned_worker.str();
 }
 
 /// Whether a fault excuses the downtime of all tasks. A coordinator needs its process, the workers
 /// and the log with its answers, because a service task may move to another worker only while the
 /// log confirms the leadership term. Without a coordinator another host has to take over, unless
 /// none can.
-bool lasting_rule::trouble_for_all(std::optional<std::size_t> acting) {
+bool service_downtime_rule::has_cell_wide_fault(std::optional<std::size_t> acting) {
     if (world_.fleet().late_orders > 0 || world_.fleet().lost_answers > 0)
         return true;
     if (!acting)
-        return !any_host_able();
+        return !any_host_can_lead();
     sim_host& host = *world_.host(*acting);
     return host.is_frozen() || host.way_to_log().state != sim_log::way::open ||
            host.way_to_log().lost_answers > 0 || host.way_to_workers().cut;
 }
 
-bool lasting_rule::any_host_able() {
+bool service_downtime_rule::any_host_can_lead() {
     for (std::size_t index = 0; index < world_.hosts(); ++index) {
         sim_host* const host = world_.host(index);
         if (host != nullptr && !host->is_frozen() && host->way_to_log().state == sim_log::way::open)
@@ -104,21 +105,22 @@
 }
 
 /// Whether the coordinator, or if there is none its successor, can connect to the worker.
-bool lasting_rule::reaches(std::optional<std::size_t> acting, const std::string& worker) {
+bool service_downtime_rule::can_reach(std::optional<std::size_t> acting,
+                                      const std::string& worker) {
     if (acting)
         return !world_.host(*acting)->way_to_workers().is_cut(worker);
     return !world_.fleet().workers.at(worker).cut;
 }
 
-bool lasting_rule::has_room(const std::string& task, std::optional<std::size_t> acting) {
-    for (const auto& [worker, capacity] : world_.watch().room)
-        if (world_.is_listed_ready(worker) && reaches(acting, worker) && fits_on(worker, task))
+bool service_downtime_rule::has_room(const std::string& task, std::optional<std::size_t> acting) {
+    for (const auto& [worker, capacity] : world_.checker().capacities)
+        if (world_.is_listed_ready(worker) && can_reach(acting, worker) && fits_on(worker, task))
             return true;
     return false;
 }
 
-bool lasting_rule::fits_on(const std::string& worker, const std::string& task) const {
-    return fits(world_.watch().step_of(task).size, world_.watch().left_on(worker));
+bool service_downtime_rule::fits_on(const std::string& worker, const std::string& task) const {
+    return fits(world_.checker().step_of(task).size, world_.checker().free_on(worker));
 }
 
 } // namespace figwinch::sim
--- a/tests/cell/lasting_rule.h
+++ b/tests/cell/service_downtime_rule.h
@@ -8,14 +8,14 @@
 
 namespace figwinch::sim {
 
-/// Checks the maximum downtime of service tasks: a task must have a run again within `longest_down`
+/// Checks the maximum downtime of service tasks: a task must have a run again within `max_downtime`
 /// after the end of its last run, the acceptance of its job, or the last fault that excuses it,
 /// whichever is latest. This applies if the job is accepted and not cancelled, a worker has free
 /// resources for the task, and the task's last worker is reachable. The loss of any other worker is
 /// no excuse. Reports violations to the invariant checker of the cell. Owned by a test.
-class lasting_rule {
+class service_downtime_rule {
 public:
-    explicit lasting_rule(cell_world& world);
+    explicit service_downtime_rule(cell_world& world);
 
     /// Starts checking a service job that was submitted. It counts as accepted once `told` says
     /// that it is stored.
@@ -23,10 +23,10 @@
     /// Stops checking a job because its cancellation was requested, whether or not that is stored.
     void leave(const std::string& job) { cancelled_.insert(job); }
 
-    static constexpr duration longest_down = std::chrono::seconds(6);
+    static constexpr duration max_downtime = std::chrono::seconds(6);
 
 private:
-    struct standing {
+    struct task_state {
         /// The start of the current downtime. Unset while the task has a run or is excused by a
         /// fault.
         std::optional<instant> down_since;
@@ -36,20 +36,20 @@
         bool passed_over = false;
     };
 
-    void look();
+    void check_all();
     bool is_followed(const std::string& job) const;
-    void look_at(const std::string& task, bool trouble, std::optional<std::size_t> acting);
+    void check_task(const std::string& task, bool trouble, std::optional<std::size_t> acting);
     std::string recorded_worker(const std::string& task);
-    bool trouble_for_all(std::optional<std::size_t> acting);
-    bool any_host_able();
-    bool reaches(std::optional<std::size_t> acting, const std::string& worker);
+    bool has_cell_wide_fault(std::optional<std::size_t> acting);
+    bool any_host_can_lead();
+    bool can_reach(std::optional<std::size_t> acting, const std::string& worker);
     bool has_room(const std::string& task, std::optional<std::size_t> acting);
     bool fits_on(const std::string& worker, const std::string& task) const;
 
     cell_world& world_;
-    std::map<std::string, std::shared_ptr<std::optional<intake_outcome>>> told_;
+    std::map<std::string, std::shared_ptr<std::optional<intake_outcome>>> submissions_;
     std::set<std::string> cancelled_;
-    std::map<std::string, standing> standings_;
+    std::map<std::string, task_state> tasks_;
 };
 
 } // namespace figwinch::sim
--- a/tests/cell/sharing_harm_test.cpp
+++ b/tests/cell/sharing_harm_test.cpp
@@ -1,5 +1,5 @@
-#include "cell/sharing_control.h"
 #include "cell/slowdown_model.h"
+#include "cell/throttle_controller.h"
 #include "simulation/sim_serving.h"
 
 #include <cppunit/TestFixture.h>
@@ -17,9 +17,9 @@
 /// own delay.
 constexpr double pace_delay_s = 0.15;
 /// The standard deviation of the relative error of reported tail latencies.
-constexpr double roughness = 0.12;
-constexpr double played_s = 120;
-constexpr double longest_allowed_s = 4;
+constexpr double tail_noise = 0.12;
+constexpr double simulated_s = 120;
+constexpr double max_harm_s = 4;
 
 /// A simulation of one worker with serving tasks, a changing set of best-effort tasks, and the
 /// control that receives reports and throttles the best-effort tasks.
@@ -36,8 +36,8 @@
     /// Starts with `with.neighbours` best-effort tasks. Each is replaced by a new one when it ends.
     shared_worker(std::uint64_t seed, const load& with) : random_(seed), load_(with) {
         for (int index = 0; index < images; ++index) {
-            serving_.push_back(model_.number("serving" + std::to_string(index)));
-            filling_.push_back(model_.number("filling" + std::to_string(index)));
+            serving_.push_back(model_.number_of("serving" + std::to_string(index)));
+            best_effort_.push_back(model_.number_of("filling" + std::to_string(index)));
             for (int other = 0; other < images; ++other)
                 truth_[index][other] = draw(0.2, 5.8);
         }
@@ -97,7 +97,7 @@
             if (s >= other.next_pace_at_s)
                 other.pace = other.next_pace;
             other.left_s -= step_s * other.pace / 100;
-            if (other.left_s <= 0 && (!load_.admitted_only || control_.admits_filling(at(s))))
+            if (other.left_s <= 0 && (!load_.admitted_only || control_.admits_best_effort(at(s))))
                 other = new_neighbour();
         }
         for (served& task : tasks_) {
@@ -113,25 +113,25 @@
         std::vector<image_share> used;
         for (const neighbour& other : beside_)
             if (other.left_s > 0)
-                used.push_back({filling_[other.image], other.share * other.pace / 100});
-        std::normal_distribution<double> rough(0, roughness);
+                used.push_back({best_effort_[other.image], other.share * other.pace / 100});
+        std::normal_distribution<double> rough(0, tail_noise);
         std::vector<serving_view> serving;
         for (served& task : tasks_) {
             const double tail = task.queue.tail_ratio(s, slowdown(task)) * std::exp(rough(random_));
             model_.learn(serving_[task.image], tail, used, task.queue.estimate, now);
             serving.push_back({serving_[task.image], tail, &task.queue.estimate, &task.queue.tail});
         }
-        std::vector<filling_view> filling;
+        std::vector<best_effort_view> best_effort;
         std::vector<neighbour*> working;
         for (neighbour& other : beside_) {
             if (other.left_s <= 0)
                 continue;
             working.push_back(&other);
-            filling.push_back({filling_[other.image], other.share});
+            best_effort.push_back({best_effort_[other.image], other.share});
         }
-        control_.decide(model_, serving, filling, now);
-        for (std::size_t index = 0; index < filling.size(); ++index) {
-            working[index]->next_pace = filling[index].percent;
+        control_.decide(model_, serving, best_effort, now);
+        for (std::size_t index = 0; index < best_effort.size(); ++index) {
+            working[index]->next_pace = best_effort[index].speed_percent;
             working[index]->next_pace_at_s = s + pace_delay_s;
         }
     }
@@ -142,9 +142,9 @@
     double next_report_s_ = 0;
     double truth_[images][images] = {};
     slowdown_model model_;
-    sharing_control control_;
+    throttle_controller control_;
     std::vector<image_number> serving_;
-    std::vector<image_number> filling_;
+    std::vector<image_number> best_effort_;
     std::vector<served> tasks_;
     std::vector<neighbour> beside_;
 };
@@ -157,16 +157,16 @@
     CPPUNIT_TEST(short_tasks_that_follow_each_other_harm_none);
     CPPUNIT_TEST_SUITE_END();
 
-    static void play(const shared_worker::load& with) {
+    static void run_seeds(const shared_worker::load& with) {
         constexpr std::uint64_t seeds = 2000;
-        std::vector<std::uint64_t> broken;
+        std::vector<std::uint64_t> violations;
         for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
             shared_worker worker(seed, with);
-            if (worker.longest_harm_s(played_s) >= longest_allowed_s)
-                broken.push_back(seed);
+            if (worker.longest_harm_s(simulated_s) >= max_harm_s)
+                violations.push_back(seed);
         }
-        const std::string first = broken.empty() ? "" : std::to_string(broken.front());
-        CPPUNIT_ASSERT_EQUAL_MESSAGE("first seed " + first, std::size_t{0}, broken.size());
+        const std::string first = violations.empty() ? "" : std::to_string(violations.front());
+        CPPUNIT_ASSERT_EQUAL_MESSAGE("first seed " + first, std::size_t{0}, violations.size());
     }
 
 public:
@@ -174,10 +174,10 @@
     /// steered to the target and reported with an error of an eighth, so a single report below the
     /// target would restart the count of seconds over it. With exact reports none of 20,000
     /// simulated workers violates the objective; with noisy ones and such a count 27 did.
-    void no_task_stays_over_its_target_for_seconds() { play({3, 2, 20, false}); }
+    void no_task_stays_over_its_target_for_seconds() { run_seeds({3, 2, 20, false}); }
     /// Guards against best-effort tasks that are started next to a serving task which is over its
     /// latency target: a new task runs at full speed until the next report.
-    void short_tasks_that_follow_each_other_harm_none() { play({5, 0.8, 4, true}); }
+    void short_tasks_that_follow_each_other_harm_none() { run_seeds({5, 0.8, 4, true}); }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(sharing_harm_test);
--- a/tests/cell/sharing_test.cpp
+++ b/tests/cell/sharing_test.cpp
@@ -1,5 +1,5 @@
-#include "cell/sharing_control.h"
 #include "cell/slowdown_model.h"
+#include "cell/throttle_controller.h"
 #include "simulation/sim_serving.h"
 
 #include <cppunit/TestFixture.h>
@@ -41,9 +41,9 @@
     CPPUNIT_TEST_SUITE_END();
 
     slowdown_model model_;
-    image_number serving_ = model_.number("serving");
-    image_number hard_ = model_.number("hard");
-    image_number soft_ = model_.number("soft");
+    image_number serving_ = model_.number_of("serving");
+    image_number hard_ = model_.number_of("hard");
+    image_number soft_ = model_.number_of("soft");
     std::mt19937_64 random_{5};
     double now_s_ = 0;
 
@@ -67,15 +67,15 @@
     }
     /// The speed that the control sets for a new best-effort task at `at_s`, next to a serving task
     /// that has had no neighbours until then.
-    int percent_at(double at_s, image_number filling, double share) {
+    int percent_at(double at_s, image_number best_effort, double share) {
         sim_serving task(0);
         for (double s = 0; s <= at_s; s += report_period_s)
             model_.learn(serving_, task.tail_ratio(s, 0), {}, task.estimate, at(s));
-        sharing_control control;
-        std::vector<filling_view> beside = {{filling, share}};
+        throttle_controller control;
+        std::vector<best_effort_view> beside = {{best_effort, share}};
         control.decide(model_, {{serving_, task.tail_ratio(at_s, 0), &task.estimate, &task.tail}},
                        beside, at(at_s));
-        return beside[0].percent;
+        return beside[0].speed_percent;
     }
 
 public:
@@ -98,7 +98,7 @@
     }
     void an_unknown_pair_counts_as_the_known_ones_of_its_image() {
         observe(5, 400);
-        const image_number other = model_.number("other serving");
+        const image_number other = model_.number_of("other serving");
         CPPUNIT_ASSERT(model_.slowdown(other, hard_) > 2);
         CPPUNIT_ASSERT(model_.slowdown(other, soft_) < 1);
     }
@@ -107,11 +107,11 @@
     /// of the workers, and no best-effort image found a worker on which it slowed down none of
     /// them.
     void images_differ_as_far_as_is_known() {
-        const image_number other = model_.number("other serving");
-        CPPUNIT_ASSERT_EQUAL(1.0, model_.difference(serving_, other));
+        const image_number other = model_.number_of("other serving");
+        CPPUNIT_ASSERT_EQUAL(1.0, model_.sensitivity_difference(serving_, other));
         observe(5, 400);
-        CPPUNIT_ASSERT_EQUAL(1.0, model_.difference(serving_, other));
-        CPPUNIT_ASSERT_EQUAL(0.0, model_.difference(serving_, serving_));
+        CPPUNIT_ASSERT_EQUAL(1.0, model_.sensitivity_difference(serving_, other));
+        CPPUNIT_ASSERT_EQUAL(0.0, model_.sensitivity_difference(serving_, serving_));
     }
     void harmless_neighbours_work_at_full_speed() {
         observe(5, 1500);
@@ -124,11 +124,11 @@
         sim_serving task(0);
         for (double s = 0; s <= 3.6; s += report_period_s)
             model_.learn(serving_, task.tail_ratio(s, 0), {}, task.estimate, at(s));
-        sharing_control control;
-        std::vector<filling_view> beside = {{soft_, 0.1}, {hard_, 0.2}};
+        throttle_controller control;
+        std::vector<best_effort_view> beside = {{soft_, 0.1}, {hard_, 0.2}};
         control.decide(model_, {{serving_, 0.6, &task.estimate, &task.tail}}, beside, at(3.6));
-        CPPUNIT_ASSERT_EQUAL(100, beside[0].percent);
-        CPPUNIT_ASSERT(beside[1].percent <= 30);
+        CPPUNIT_ASSERT_EQUAL(100, beside[0].speed_percent);
+        CPPUNIT_ASSERT(beside[1].speed_percent <= 30);
     }
     /// A neighbour that must be throttled at the peak of the serving task's own load can run at
     /// full speed while that load is low.
@@ -146,14 +146,14 @@
     void targets_hold_beside_a_harmful_neighbour() {
         observe(5, 400);
         std::vector<sim_serving> tasks = {sim_serving(0), sim_serving(0.3), sim_serving(0.7)};
-        sharing_control control;
-        std::vector<filling_view> beside = {{hard_, 0.12}};
+        throttle_controller control;
+        std::vector<best_effort_view> beside = {{hard_, 0.12}};
         int over = 0;
         int over_uncontrolled = 0;
         int reports = 0;
         double worked = 0;
         for (double s = 1000; s < 1120; s += report_period_s) {
-            const double share = 0.12 * beside[0].percent / 100;
+            const double share = 0.12 * beside[0].speed_percent / 100;
             const std::vector<image_share> used = {{hard_, share}};
             std::vector<serving_view> serving;
             for (sim_serving& task : tasks) {
@@ -165,7 +165,7 @@
                 serving.push_back({serving_, tail, &task.estimate, &task.tail});
             }
             control.decide(model_, serving, beside, at(s));
-            worked += beside[0].percent / 100.0;
+            worked += beside[0].speed_percent / 100.0;
         }
         const double steps = reports / 3.0;
         CPPUNIT_ASSERT(over_uncontrolled > reports / 4);
@@ -178,26 +178,27 @@
     /// objective permits.
     void everything_stands_still_before_the_promise_breaks() {
         observe(0, 2000);
-        sharing_control control;
+        throttle_controller control;
         load_estimate unknown;
         tail_estimate tail;
-        std::vector<filling_view> filling;
+        std::vector<best_effort_view> best_effort;
         for (int ms = 0; ms <= 2500; ms += 500) {
-            filling = {{soft_, 0.1}};
-            control.decide(model_, {{serving_, 1.5, &unknown, &tail}}, filling, at(ms / 1000.0));
+            best_effort = {{soft_, 0.1}};
+            control.decide(model_, {{serving_, 1.5, &unknown, &tail}}, best_effort,
+                           at(ms / 1000.0));
         }
-        CPPUNIT_ASSERT_EQUAL(0, filling[0].percent);
+        CPPUNIT_ASSERT_EQUAL(0, best_effort[0].speed_percent);
     }
     void a_successor_goes_on_from_the_record() {
         observe(5, 400);
         slowdown_model next;
-        next.number("another");
+        next.number_of("another");
         next.restore(model_.encode());
-        const image_number serving = next.number("serving");
+        const image_number serving = next.number_of("serving");
         CPPUNIT_ASSERT_DOUBLES_EQUAL(model_.slowdown(serving_, hard_),
-                                     next.slowdown(serving, next.number("hard")), 0.01);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(model_.usual_headroom(serving_, 0, 1),
-                                     next.usual_headroom(serving, 0, 1), 0.01);
+                                     next.slowdown(serving, next.number_of("hard")), 0.01);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(model_.typical_headroom(serving_, 0, 1),
+                                     next.typical_headroom(serving, 0, 1), 0.01);
     }
     void bad_records_are_passed_over() {
         observe(5, 100);
@@ -209,14 +210,14 @@
             model_.restore(bytes);
             const double slowdown = model_.slowdown(serving_, hard_);
             CPPUNIT_ASSERT(slowdown >= 0 && slowdown <= 12);
-            CPPUNIT_ASSERT(std::isfinite(model_.usual_headroom(serving_, 0, 1)));
+            CPPUNIT_ASSERT(std::isfinite(model_.typical_headroom(serving_, 0, 1)));
         }
     }
     void many_images_share_the_last_number() {
         image_number last = 0;
         for (int index = 0; index < 500; ++index)
-            last = model_.number("image" + std::to_string(index));
-        CPPUNIT_ASSERT_EQUAL(last, model_.number("image499"));
+            last = model_.number_of("image" + std::to_string(index));
+        CPPUNIT_ASSERT_EQUAL(last, model_.number_of("image499"));
         load_estimate load;
         model_.learn(last, 0.5, std::vector<image_share>{{last, 0.1}}, load, at(1));
     }
--- a/tests/cell/step_down_test.cpp
+++ b/tests/cell/step_down_test.cpp
@@ -35,7 +35,7 @@
     worker_id recorded() {
         const auto job = decode_progress(record(record_kind::progress, "b"));
         const bool known = job && job->occurrences.contains(0);
-        return known ? job->occurrences.at(0).steps.at(0).at(0).ordered_to : worker_id();
+        return known ? job->occurrences.at(0).steps.at(0).at(0).assigned_worker : worker_id();
     }
     /// The log takes a new task's worker, and the answer is lost. Then the worker is out of reach;
     /// returns the task.
@@ -84,7 +84,7 @@
         world_.time().run_for(first_parting);
         part_from_log(first);
         world_.time().run_for(second_parting - first_parting);
-        const std::size_t second = *world_.acting();
+        const std::size_t second = *world_.newest_leader();
         CPPUNIT_ASSERT(second != first);
         part_from_log(second);
         world_.time().run_for(longest_after_loss - second_parting);
@@ -97,7 +97,7 @@
         const std::string waiting = record_without_order(first);
         part_from_log(first);
         world_.time().run_for(longest_down);
-        CPPUNIT_ASSERT(world_.watch().runs(waiting));
+        CPPUNIT_ASSERT(world_.checker().is_running(waiting));
         kept_the_rules();
     }
     /// Guards against a coordinator that learns of its end from the log and forgets what it
@@ -112,7 +112,7 @@
         CPPUNIT_ASSERT(world_.host(first)->member().coordinating() == nullptr);
         world_.cut_from_peers(first, false);
         world_.time().run_for(longest_down - awake);
-        CPPUNIT_ASSERT(world_.watch().runs(waiting));
+        CPPUNIT_ASSERT(world_.checker().is_running(waiting));
         kept_the_rules();
     }
     /// Guards against the same where nobody can tell that there was no order.
@@ -123,7 +123,7 @@
         world_.cut_from_peers(first, true);
         world_.time().run_for(longest_down);
         kept_the_rules();
-        CPPUNIT_ASSERT(world_.watch().runs(waiting));
+        CPPUNIT_ASSERT(world_.checker().is_running(waiting));
     }
     void outstanding_orders_pass_the_bus_unchanged() {
         outstanding_orders orders;
--- a/tests/cell/straggler_test.cpp
+++ b/tests/cell/straggler_test.cpp
@@ -30,26 +30,27 @@
 
 public:
     void a_run_without_progress_stands_still() {
-        CPPUNIT_ASSERT(stands_still(progress(3000, 2500, 40)));
-        CPPUNIT_ASSERT(stands_still(progress(2500, 2500, 0)));
+        CPPUNIT_ASSERT(is_stalled(progress(3000, 2500, 40)));
+        CPPUNIT_ASSERT(is_stalled(progress(2500, 2500, 0)));
     }
     /// In a task of ten minutes one percent takes 6 s, during which its percentage doesn't change.
     void a_long_run_that_gets_on_slowly_doesnt_stand_still() {
-        CPPUNIT_ASSERT(!stands_still(progress(60'000, 5900, 9, 600'000)));
-        CPPUNIT_ASSERT(!stands_still(progress(5900, 5900, 0, 600'000)));
-        CPPUNIT_ASSERT(stands_still(progress(200'000, 140'000, 10, 600'000)));
+        CPPUNIT_ASSERT(!is_stalled(progress(60'000, 5900, 9, 600'000)));
+        CPPUNIT_ASSERT(!is_stalled(progress(5900, 5900, 0, 600'000)));
+        CPPUNIT_ASSERT(is_stalled(progress(200'000, 140'000, 10, 600'000)));
     }
     void nothing_is_said_before_a_run_could_have_got_on() {
-        CPPUNIT_ASSERT(!stands_still(progress(1500, 1500, 0)));
-        CPPUNIT_ASSERT(!stands_still(progress(9000, 9000, 100)));
+        CPPUNIT_ASSERT(!is_stalled(progress(1500, 1500, 0)));
+        CPPUNIT_ASSERT(!is_stalled(progress(9000, 9000, 100)));
     }
     void the_usual_time_takes_three_samples() {
-        CPPUNIT_ASSERT(!usual_time({milliseconds(600)}, {progress(300, 0, 50)}).has_value());
+        CPPUNIT_ASSERT(!typical_run_time({milliseconds(600)}, {progress(300, 0, 50)}).has_value());
         // Runs with little progress don't count as samples.
-        CPPUNIT_ASSERT(!usual_time({milliseconds(600)}, {progress(300, 0, 50), progress(300, 0, 5)})
-                            .has_value());
+        CPPUNIT_ASSERT(
+            !typical_run_time({milliseconds(600)}, {progress(300, 0, 50), progress(300, 0, 5)})
+                 .has_value());
         const auto usual =
-            usual_time({milliseconds(500), milliseconds(700)}, {progress(300, 0, 50)});
+            typical_run_time({milliseconds(500), milliseconds(700)}, {progress(300, 0, 50)});
         CPPUNIT_ASSERT(usual == milliseconds(600));
     }
     void a_run_at_a_sixth_of_the_speed_is_a_straggler() {
--- a/tests/cell/worker_loss_test.cpp
+++ b/tests/cell/worker_loss_test.cpp
@@ -34,7 +34,7 @@
             for (auto& [number, occurrence] : job->occurrences)
                 for (std::vector<task_progress>& tasks : occurrence.steps)
                     for (task_progress& of : tasks)
-                        of.ordered_to = worker_id();
+                        of.assigned_worker = worker_id();
             kept.value = encode_progress(*job);
         }
         world_.store().compact();
@@ -101,7 +101,7 @@
             world_.host(host)->way_to_log().state = sim_log::way::open;
         world_.time().run_for(seconds(5));
         all_run("a", 8);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{8}, world_.checker().starts);
         kept_the_rules();
     }
     /// Story: a worker is lost, and a moment later a lasting task fails on another. It was started
@@ -123,7 +123,7 @@
             if (entry.worker->has(failing))
                 entry.worker->fail_run(failing);
         world_.time().run_for(longest_down);
-        CPPUNIT_ASSERT(world_.watch().runs(failing));
+        CPPUNIT_ASSERT(world_.checker().is_running(failing));
         kept_the_rules();
     }
     /// Guards against a start without an answer that is waited for as long as workers may grant.
@@ -164,7 +164,7 @@
     void lasting_tasks_that_fill_dont_wait_for_processors() {
         begin();
         job_spec filling = lasting(5);
-        filling.steps.front().filling = true;
+        filling.steps.front().is_best_effort = true;
         filling.steps.front().size.cpu_millis = 3500;
         world_.submit(0, "a", filling);
         world_.time().run_for(longest_down);
@@ -188,7 +188,7 @@
         kept_the_rules();
         world_.time().run_for(seconds(12));
         for (std::uint32_t index = 0; index < 8; ++index)
-            CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
+            CPPUNIT_ASSERT(world_.checker().is_running(task("a", index)));
         kept_the_rules();
     }
     /// Story: a worker is lost, and while its lasting tasks wait for its lease, short ones take all
--- a/tests/cell/worker_record_test.cpp
+++ b/tests/cell/worker_record_test.cpp
@@ -33,16 +33,16 @@
         world_.time().run_for(seconds(2));
         sim_log& log = world_.host(*world_.coordinator())->way_to_log();
         world_.fleet().workers.at("w1").cut = true;
-        for (int steps = 0; steps < 500 && !recorded("w1")->silent; ++steps)
+        for (int steps = 0; steps < 500 && !recorded("w1")->unresponsive; ++steps)
             world_.time().run_for(milliseconds(10));
-        CPPUNIT_ASSERT(recorded("w1")->silent);
+        CPPUNIT_ASSERT(recorded("w1")->unresponsive);
         log.stuck = cell_stream::progress;
         world_.fleet().workers.at("w1").cut = false;
         world_.time().run_for(seconds(8));
         log.stuck.reset();
         world_.time().run_for(seconds(2));
         CPPUNIT_ASSERT(recorded("w1").has_value());
-        CPPUNIT_ASSERT(!recorded("w1")->silent);
+        CPPUNIT_ASSERT(!recorded("w1")->unresponsive);
     }
 };
 
