--- a/tests/cell_host/fake_platform.h
+++ b/tests/cell_host/fake_platform.h
@@ -121,8 +121,8 @@
     void start(const worker_listing&, const start_order&, answer_handler) override {}
     void stop(const worker_listing&, const std::string&, run_number, lease_epoch,
               answer_handler) override {}
-    void pace(const worker_listing&, const pace_order&, answer_handler) override {}
-    void hold(const worker_listing&, const hold_order&, hold_handler) override {}
+    void throttle(const worker_listing&, const throttle_order&, answer_handler) override {}
+    void renew_lease(const worker_listing&, const renewal_order&, renewal_handler) override {}
     void forget(const worker_id&) override {}
     void ask(const std::string&, const std::vector<worker_id>&, duration,
              worker_advisor::handler) override {}
--- a/tests/link/fake_workers.h
+++ b/tests/link/fake_workers.h
@@ -18,8 +18,8 @@
     };
     struct noted_hold {
         worker_id worker;
-        hold_order order;
-        hold_handler done;
+        renewal_order order;
+        renewal_handler done;
     };
 
     std::vector<noted_start> starts;
@@ -37,11 +37,13 @@
         stops.push_back(where.id);
         done({order_outcome::done, 7});
     }
-    void pace(const worker_listing&, const pace_order& order, answer_handler done) override {
-        paces.push_back(order.percent);
+    void throttle(const worker_listing&, const throttle_order& order,
+                  answer_handler done) override {
+        paces.push_back(order.speed_percent);
         done({order_outcome::refused, std::nullopt});
     }
-    void hold(const worker_listing& where, const hold_order& order, hold_handler done) override {
+    void renew_lease(const worker_listing& where, const renewal_order& order,
+                     renewal_handler done) override {
         holds.push_back({where.id, order, std::move(done)});
     }
     void forget(const worker_id& worker) override { forgotten.push_back(worker); }
@@ -60,7 +62,7 @@
     order.task = task;
     order.run = run_number(run);
     order.payload = "payload of " + task.substr(0, task.find('.'));
-    order.until_ms = 1500;
+    order.start_by_ms = 1500;
     return order;
 }
 
--- a/tests/link/link_lane_test.cpp
+++ b/tests/link/link_lane_test.cpp
@@ -39,7 +39,7 @@
         peers_.deliver();
     }
     /// The report that a hold comes back with.
-    worker_report told(const worker_report& report, const hold_order& order) {
+    worker_report told(const worker_report& report, const renewal_order& order) {
         worker_report seen;
         lane_.hold(worker_, order, [&](order_outcome outcome, const worker_report& answer) {
             CPPUNIT_ASSERT(outcome == order_outcome::done);
@@ -70,7 +70,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("job1.0.0.3"), sent.task);
         CPPUNIT_ASSERT_EQUAL(std::string("c"), sent.checkpoint);
         CPPUNIT_ASSERT_EQUAL(std::string("t"), sent.ticket);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{1500}, sent.until_ms);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{1500}, sent.start_by_ms);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, sent.epoch.value());
         CPPUNIT_ASSERT_EQUAL(40, workers_.paces.at(0));
         workers_.starts.at(0).done({order_outcome::no_room, 11});
@@ -84,13 +84,13 @@
         constexpr std::uint64_t born_ms = 1'750'000'000'000;
         std::vector<bool> others;
         start_order start = start_of("job1.0.0.3", 9);
-        start.born_ms = born_ms;
+        start.incarnation = born_ms;
         for (int count = 0; count < 2; ++count)
             lane_.start(worker_, start, [&](const order_answer& answer) {
-                others.push_back(answer.may_reach_other_life);
+                others.push_back(answer.may_reach_other_incarnation);
             });
         exchange();
-        CPPUNIT_ASSERT_EQUAL(born_ms, workers_.starts.at(0).order.born_ms);
+        CPPUNIT_ASSERT_EQUAL(born_ms, workers_.starts.at(0).order.incarnation);
         workers_.starts.at(0).done({order_outcome::unknown, std::nullopt, false});
         workers_.starts.at(1).done({order_outcome::unknown, std::nullopt, true});
         exchange();
@@ -152,12 +152,12 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), seen.running.at(0).task);
         CPPUNIT_ASSERT_EQUAL(std::string("job2.0.0.0"), seen.running.at(1).task);
         CPPUNIT_ASSERT_EQUAL(std::string("c2"), seen.running.at(1).checkpoint);
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{-3}, seen.running.at(1).recent);
-        CPPUNIT_ASSERT_EQUAL(9, seen.running.at(1).percent);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{-3}, seen.running.at(1).latency_ms_or_cpu_millis);
+        CPPUNIT_ASSERT_EQUAL(9, seen.running.at(1).progress_percent);
         seen = told(report, {});
         CPPUNIT_ASSERT_EQUAL(std::string(), seen.running.at(1).task);
-        hold_order named;
-        named.names = true;
+        renewal_order named;
+        named.require_names = true;
         seen = told(report, named);
         CPPUNIT_ASSERT_EQUAL(std::string("job1.0.0.0"), seen.running.at(0).task);
     }
@@ -175,17 +175,17 @@
     /// Guards against ends of a new life that are taken for those of the one before.
     void ends_that_are_known_arent_told_again() {
         worker_report report;
-        report.born_ms = 100;
+        report.incarnation = 100;
         report.ended = {{1, "job1.0.0.0", run_number(1), run_end::done, ""},
                         {2, "job1.0.0.1", run_number(2), run_end::failed, "c"}};
-        hold_order order;
-        order.seen = 1;
-        order.born_ms = 100;
+        renewal_order order;
+        order.received = 1;
+        order.incarnation = 100;
         worker_report seen = told(report, order);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, seen.ended.size());
-        CPPUNIT_ASSERT(seen.ended.front().how == run_end::failed);
+        CPPUNIT_ASSERT(seen.ended.front().reason == run_end::failed);
         CPPUNIT_ASSERT_EQUAL(std::string("job1.0.0.1"), seen.ended.front().task);
-        order.born_ms = 99;
+        order.incarnation = 99;
         seen = told(report, order);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, seen.ended.size());
     }
--- a/tests/link/linked_orders_test.cpp
+++ b/tests/link/linked_orders_test.cpp
@@ -49,7 +49,7 @@
     }
     void hold(int workers) {
         for (int index = 0; index < workers; ++index)
-            orders_.hold(
+            orders_.renew_lease(
                 listing_of(absl::StrCat("w", index), index % 2 == 0 ? "a" : "b"), {},
                 [this](order_outcome outcome, const worker_report&) { held_.push_back(outcome); });
     }
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -54,10 +54,10 @@
         CPPUNIT_ASSERT(job.ok());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, job->steps.size());
         const step_spec& second = job->steps[1];
-        CPPUNIT_ASSERT(second.gang && second.lasting && second.filling);
+        CPPUNIT_ASSERT(second.gang && second.is_service && second.is_best_effort);
         CPPUNIT_ASSERT_EQUAL(std::string("big"), second.label);
-        CPPUNIT_ASSERT_EQUAL(std::string("rack-9"), second.near_rack.str());
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, second.most_per_worker);
+        CPPUNIT_ASSERT_EQUAL(std::string("rack-9"), second.preferred_rack.str());
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, second.max_per_worker);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{500}, job->steps[0].size.cpu_millis);
     }
     void malformed_submissions_are_refused_by_number() {
@@ -124,7 +124,7 @@
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("rack-9"), read->rack.str());
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1000}, read->capacity.cpu_millis);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1'700'000'000'000}, read->born_ms);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1'700'000'000'000}, read->incarnation);
         CPPUNIT_ASSERT(!read->leaving);
     }
     /// Story: another writer has left bytes in the list of workers. They must name no worker to use
@@ -177,9 +177,9 @@
         const auto read = decode_report(report);
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->running.size());
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{13}, read->running[0].recent);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{13}, read->running[0].latency_ms_or_cpu_millis);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->ended.size());
-        CPPUNIT_ASSERT(read->ended[0].how == run_end::done);
+        CPPUNIT_ASSERT(read->ended[0].reason == run_end::done);
         CPPUNIT_ASSERT(!decode_report(R"({"running":[]})").has_value());
     }
     void orders_carry_what_workers_check() {
@@ -193,8 +193,8 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{4}, fields.integer("fence"));
         CPPUNIT_ASSERT_EQUAL(std::int64_t{70}, fields.integer("untilMs"));
         CPPUNIT_ASSERT_EQUAL(std::string("p\"q"), fields.text("spec"));
-        hold_order hold;
-        hold.noted = 5;
+        renewal_order hold;
+        hold.acknowledged = 5;
         const auto look = parse_object(encode_hold(hold));
         CPPUNIT_ASSERT(!json_reader(*look).has("untilMs"));
         CPPUNIT_ASSERT_EQUAL(std::int64_t{5}, json_reader(*look).integer("lastSeen"));
@@ -227,9 +227,9 @@
                              encode_question("a.0.1", {worker_id("w1"), worker_id("w2")}));
         const auto read = decode_advice(advice);
         CPPUNIT_ASSERT(read.has_value());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->good.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("t-1"), read->good[0].ticket);
-        CPPUNIT_ASSERT(read->valid == std::chrono::milliseconds(3000));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->allowed.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("t-1"), read->allowed[0].ticket);
+        CPPUNIT_ASSERT(read->ticket_validity == std::chrono::milliseconds(3000));
         CPPUNIT_ASSERT(!decode_advice(R"({"good":7})").has_value());
         CPPUNIT_ASSERT(!decode_advice("[]").has_value());
     }
@@ -243,7 +243,7 @@
             if (random() % 3 == 0)
                 bytes.resize(random() % bytes.size());
             if (const auto job = decode_submission(bytes); job.ok())
-                CPPUNIT_ASSERT(check_job(*job).ok());
+                CPPUNIT_ASSERT(validate_job(*job).ok());
             decode_listing("w", bytes);
             decode_report(bytes);
             decode_advice(bytes);
--- a/tests/platform/worker_calls_test.cpp
+++ b/tests/platform/worker_calls_test.cpp
@@ -106,8 +106,8 @@
     void a_new_coordinator_hears_of_all_workers_over_a_slow_link() {
         start(24, 10);
         const std::size_t done = call_all([this](const worker_listing& where, const auto& end) {
-            calls_.hold(where, {},
-                        [end](order_outcome outcome, const worker_report&) { end(outcome); });
+            calls_.renew_lease(
+                where, {}, [end](order_outcome outcome, const worker_report&) { end(outcome); });
         });
         CPPUNIT_ASSERT_EQUAL(workers, done);
     }
@@ -132,8 +132,8 @@
     void a_burst_of_paces_is_answered_over_a_slow_link() {
         start(0, 0);
         const auto pace = [this](const worker_listing& where, const auto& end) {
-            calls_.pace(where, {task, run_number(7), 50, lease_epoch(3)},
-                        [end](const order_answer& answer) { end(answer.outcome); });
+            calls_.throttle(where, {task, run_number(7), 50, lease_epoch(3)},
+                            [end](const order_answer& answer) { end(answer.outcome); });
         };
         CPPUNIT_ASSERT_EQUAL(small_orders * workers, call_all_often(small_orders, pace));
     }
--- a/tests/platform/worker_reports_test.cpp
+++ b/tests/platform/worker_reports_test.cpp
@@ -60,7 +60,7 @@
             worker_listing worker;
             worker.id = worker_id(absl::StrCat("worker-", index));
             worker.address = endpoint{"127.0.0.1", server_->port()};
-            calls_.hold(worker, {}, [&](order_outcome outcome, const worker_report&) {
+            calls_.renew_lease(worker, {}, [&](order_outcome outcome, const worker_report&) {
                 heard += outcome == order_outcome::done ? 1 : 0;
                 if (++ended == workers)
                     loop_.stop();
--- a/tests/platform/worker_starts_test.cpp
+++ b/tests/platform/worker_starts_test.cpp
@@ -88,17 +88,18 @@
         return worker;
     }
     void report() {
-        calls_.hold(reporting_worker(), {}, [this](order_outcome outcome, const worker_report&) {
-            CPPUNIT_ASSERT(outcome == order_outcome::done);
-            loop_.stop();
-        });
+        calls_.renew_lease(reporting_worker(), {},
+                           [this](order_outcome outcome, const worker_report&) {
+                               CPPUNIT_ASSERT(outcome == order_outcome::done);
+                               loop_.stop();
+                           });
         loop_.run();
     }
     /// What is known of a start for a life that gets no answer.
     order_answer start_of_life(std::uint64_t born) {
         start_order order;
         order.task = "5c0e7a21d94b36f8.0.1.13";
-        order.born_ms = born;
+        order.incarnation = born;
         order_answer got;
         calls_.start(reporting_worker(), order, [&](const order_answer& answer) {
             got = answer;
@@ -139,7 +140,7 @@
         // The second is asked over the connection that the first has opened.
         report();
         report();
-        CPPUNIT_ASSERT(!start_of_life(born_ms).may_reach_other_life);
+        CPPUNIT_ASSERT(!start_of_life(born_ms).may_reach_other_incarnation);
     }
     /// Guards against a task that runs twice since a later life of its worker got its start.
     void a_start_over_a_new_connection_may_reach_another_life() {
@@ -148,14 +149,14 @@
         report();
         start_of_life(born_ms);
         // That call timed out, and its connection is closed.
-        CPPUNIT_ASSERT(start_of_life(born_ms).may_reach_other_life);
+        CPPUNIT_ASSERT(start_of_life(born_ms).may_reach_other_incarnation);
     }
     /// Guards against the same where the coordinator hasn't heard of the later life.
     void a_start_for_an_earlier_life_may_reach_another() {
         start_reporting();
         report();
         report();
-        CPPUNIT_ASSERT(start_of_life(born_ms - 1).may_reach_other_life);
+        CPPUNIT_ASSERT(start_of_life(born_ms - 1).may_reach_other_incarnation);
     }
 };
 
--- a/tools/experiment/day_callers.cpp
+++ b/tools/experiment/day_callers.cpp
@@ -16,7 +16,7 @@
     std::vector<duration> ends;
     for (const step_spec& step : job.steps) {
         duration begin{};
-        for (const std::uint32_t earlier : step.after)
+        for (const std::uint32_t earlier : step.depends_on)
             begin = std::max(begin, ends[earlier]);
         ends.push_back(begin + step.estimate);
     }
@@ -50,7 +50,7 @@
     if (outcome != intake_outcome::stored)
         return;
     followed_[job].accepted = true;
-    if (!jobs_[job].spec.steps.front().lasting)
+    if (!jobs_[job].spec.steps.front().is_service)
         open_.push_back(job);
 }
 
--- a/tools/experiment/day_plan.cpp
+++ b/tools/experiment/day_plan.cpp
@@ -70,10 +70,10 @@
         spec.estimate =
             around(std::chrono::duration_cast<duration>(step.length * step.guess_factor),
                    step.guess_spread);
-        spec.after = step.after;
-        spec.lasting = class_.lasts();
-        spec.filling = class_.kind == task_kind::filling;
-        spec.tail_target = class_.tail_target;
+        spec.depends_on = step.after;
+        spec.is_service = class_.lasts();
+        spec.is_best_effort = class_.kind == task_kind::filling;
+        spec.latency_target = class_.tail_target;
         spec.image = class_.name;
         std::vector<planned_task>& tasks = job.tasks.emplace_back();
         for (std::int64_t index = 0; index < step.tasks; ++index) {
--- a/tools/experiment/day_watch.cpp
+++ b/tools/experiment/day_watch.cpp
@@ -36,7 +36,7 @@
         ended.workers.erase(at);
     run_counts& counts = counts_[jobs_[ended.job].of_class];
     counts.stops += how == run_end::stopped ? 1 : 0;
-    counts.lapses += how == run_end::lapsed ? 1 : 0;
+    counts.lapses += how == run_end::lease_expired ? 1 : 0;
 }
 
 duration day_watch::length_of(const std::string& task) {
--- a/tools/experiment/day_watch.h
+++ b/tools/experiment/day_watch.h
@@ -29,7 +29,7 @@
     void on_start(const std::string& worker, const start_order& order, bool late) override;
     void on_end(const std::string& worker, const std::string& task, run_number run,
                 run_end how) override;
-    void on_noted(const std::string&, const ended_row&) override {}
+    void on_noted(const std::string&, const ended_run&) override {}
     duration length_of(const std::string& task) override;
     bool fails(const std::string& task) override;
     const step_spec& step_of(const std::string& task) const override;
--- a/tools/experiment/result_builder.cpp
+++ b/tools/experiment/result_builder.cpp
@@ -17,7 +17,7 @@
 }
 
 void result_builder::add_job(const planned_job& job, const day_callers::followed_job& known) {
-    const bool lasts = job.spec.steps.front().lasting;
+    const bool lasts = job.spec.steps.front().is_service;
     const bool in_time = known.succeeded && *known.ended <= known.objective;
     const bool late = known.succeeded && !in_time;
     add(job.of_class, [&](sums& to) {
--- a/tools/experiment/served_meter.cpp
+++ b/tools/experiment/served_meter.cpp
@@ -10,7 +10,7 @@
         harmed_[name] = entry.worker->harms();
     for (std::size_t number = 0; number < jobs_.size(); ++number) {
         const planned_job& job = jobs_[number];
-        if (!job.spec.steps.front().lasting || !callers.followed()[number].handed_in)
+        if (!job.spec.steps.front().is_service || !callers.followed()[number].handed_in)
             continue;
         for (std::uint32_t step = 0; step < job.spec.steps.size(); ++step) {
             const step_spec& spec = job.spec.steps[step];
@@ -20,7 +20,7 @@
                     to_string(task_name{job_id(day_watch::id_of(number)), 0, step, index});
                 served_time& time = times_[job.of_class];
                 time.wanted += cost;
-                time.served += serves(task, spec.tail_target > duration::zero()) ? cost : 0;
+                time.served += serves(task, spec.latency_target > duration::zero()) ? cost : 0;
             }
         }
     }
