--- a/include/figwinch/cell.h
+++ b/include/figwinch/cell.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// Library `cell`: one coordinator for all workers of a deployment, elected through the durable
-/// log. Holds the jobs of callers, what the log keeps of them, and the rules by which tasks are
-/// started, watched, stopped and started again. Rules only; ports to the log and to workers are
-/// interfaces.
+/// Library `cell`: one coordinator schedules tasks on all workers of a deployment. The coordinator
+/// is elected through the durable log. The library holds the jobs of callers, the records of them
+/// in the log, and the rules by which tasks are started, monitored, stopped and restarted. It does
+/// no I/O: the log and the workers are reached through interfaces.
 
 #include "figwinch/cell/cell_config.h"
 #include "figwinch/cell/cell_settings.h"
--- a/include/figwinch/cell/cell_config.h
+++ b/include/figwinch/cell/cell_config.h
@@ -12,10 +12,11 @@
 
 namespace figwinch {
 
-/// One queue: how callers reach it and what it promises.
+/// One queue of jobs: how callers address it, and the defaults and targets of its jobs.
 struct queue_config {
     queue_name name;
-    /// The Host header that selects it, and the longest path prefix that the path begins with.
+    /// A request selects this queue by its Host header and by a path that begins with this prefix.
+    /// The longest matching prefix wins.
     std::string host;
     std::string path_prefix;
     service_id service;
@@ -23,26 +24,28 @@
     std::uint32_t attempts = 1;
     double stretch = 1;
     duration target{};
-    /// Only an advisor knows which workers may run its steps.
+    /// Set if the workers that may run this queue's steps are known to an external advisor only.
     std::optional<advice_terms> advice;
 };
 
 /// One service: a pool of workers.
 struct service_config {
     service_id name;
-    /// Its workers refuse by themselves what doesn't fit.
+    /// The workers of this service reject tasks that exceed their capacity by themselves.
     bool guards_capacity = false;
-    /// Its workers are switched off.
+    /// The workers of this service are switched off.
     bool spare = false;
 };
 
-/// The configuration in force. Versions only grow; a newer one replaces the whole.
+/// The configuration in force. Versions only increase; a newer version replaces the whole
+/// configuration.
 struct cell_config {
     config_version version;
     std::vector<queue_config> queues;
     std::vector<service_config> services;
 
-    /// The queue of a path: of the host's queues the one with the longest prefix.
+    /// Returns the queue for a request: among the queues of this host the one with the longest
+    /// prefix of the path. Null if there is none.
     const queue_config* match(std::string_view host, std::string_view path) const;
     const queue_config* find(const queue_name& name) const;
 };
--- a/include/figwinch/cell/cell_state.h
+++ b/include/figwinch/cell/cell_state.h
@@ -10,28 +10,31 @@
 
 namespace figwinch {
 
-/// What the log says of a cell: its jobs, how far they are, and the workers that may have tasks.
-/// A fold: applying records again, or in pages that overlap, gives the same state. Every host keeps
-/// one, so that any can answer callers and become coordinator.
+/// The state of a cell as recorded in the log: its jobs, their progress, and the workers that may
+/// have tasks. Records are applied idempotently: applying them again, or from overlapping pages,
+/// gives the same state. Hosts keep such a copy to answer callers and to be able to become
+/// coordinator.
 class cell_state {
 public:
-    /// Folds one record. Records that can't be read are counted and passed over.
+    /// Applies one record. Records that can't be decoded are counted and skipped.
     void apply(cell_stream stream, const stored_record& record);
 
-    /// Forgets everything.
+    /// Drops all records, for a host that no longer keeps a copy of the jobs.
     void clear();
 
     const job_entry* find(const job_id& id) const;
     const absl::flat_hash_map<job_id, job_entry>& jobs() const { return jobs_; }
     /// Workers that may have tasks.
     const absl::flat_hash_map<worker_id, worker_entry>& workers() const { return workers_; }
-    /// What coordinators have learned of images that share workers, as recorded.
+    /// The recorded slowdown model: how much images slow each other down on a shared worker, as
+    /// coordinators have measured it. Encoded.
     const std::string& slowdowns() const { return slowdowns_; }
-    /// Accepted jobs of a queue of which no task has started.
+    /// The number of accepted jobs of a queue of which no task has started.
     std::size_t waiting(const queue_name& queue) const;
     std::uint64_t unreadable() const { return unreadable_; }
 
-    /// Called after a job of the intake stream was folded: a new one or a cancellation.
+    /// Sets the callback that is called after a record of the intake stream was applied to a job: a
+    /// new job or a cancellation.
     void on_intake(std::function<void(const job_entry&)> call) {
         intake_changed_ = std::move(call);
     }
@@ -47,7 +50,8 @@
 
     absl::flat_hash_map<job_id, job_entry> jobs_;
     absl::flat_hash_map<worker_id, worker_entry> workers_;
-    /// Offset of the newest record of each key, so that an older page can't undo a newer one.
+    /// The offset of the newest applied record of each key. Older records are ignored, so that a
+    /// page of older records can't overwrite newer ones.
     absl::flat_hash_map<std::string, std::uint64_t> newest_;
     std::string slowdowns_;
     std::uint64_t unreadable_ = 0;
--- a/include/figwinch/cell/durable_log.h
+++ b/include/figwinch/cell/durable_log.h
@@ -11,17 +11,18 @@
 
 namespace figwinch {
 
-/// What is kept where. Each stream is an ordered log of its own.
+/// The streams of the durable log. Each stream is ordered on its own; offsets of different streams
+/// can't be compared.
 enum class cell_stream {
-    /// Jobs and cancellations; every host appends.
+    /// Jobs and cancellations. Every host appends to it.
     intake,
-    /// Progress of jobs and workers in use; the coordinator alone appends, fenced by its epoch.
+    /// Progress of jobs, and the workers in use. Only the coordinator appends, fenced by its epoch.
     progress,
-    /// Who is the coordinator.
+    /// Leader election: claims, renewals and resignations of the coordinator.
     reigns,
-    /// What operators have published; only read.
+    /// Configuration and commands published by operators. Read-only.
     operators,
-    /// Workers as they list themselves; only read.
+    /// Workers as they register themselves. Read-only.
     workers,
 };
 
@@ -29,42 +30,46 @@
                                            cell_stream::reigns, cell_stream::operators,
                                            cell_stream::workers};
 
-/// "intake" and so on, for logs.
+/// The name of a stream for log events and metrics, such as "intake".
 const char* to_string(cell_stream stream);
 
-/// One record: the newest of a key replaces the earlier ones. No value drops the key.
+/// One record of a stream. The newest record of a key replaces the earlier ones; a record without a
+/// value deletes the key.
 struct stored_record {
     std::string key;
     std::optional<std::string> value;
-    /// Position in the stream, counted from 0; set by the log.
+    /// Position in the stream, counted from 0. Set by the log.
     std::uint64_t offset = 0;
 };
 
-/// Why a call to the log didn't succeed.
+/// Why a call to the log failed.
 enum class log_fault {
     none,
-    /// The log says so itself: nothing was done.
+    /// The log answered that it is unavailable; the call had no effect.
     unavailable,
-    /// No whole answer: an append may have been done or may be done later.
+    /// No complete answer before the timeout. An append may have taken effect or may still do so.
     silent,
-    /// Another writer came first; `end` says where the stream ends.
+    /// The append was conditional on the stream's end offset, and another writer appended first.
+    /// The result holds the actual end offset.
     moved,
-    /// A higher epoch has been seen: this writer is no longer the coordinator.
+    /// The log has seen a higher epoch: this writer is no longer the coordinator.
     fenced,
-    /// The sequence number doesn't follow; `end` holds the one expected.
+    /// The append's sequence number isn't the next one. The result's `end` holds the expected
+    /// number.
     out_of_sequence,
-    /// What was asked for has expired; `first` says what is left.
+    /// The requested records are no longer kept. The result holds the offset of the oldest record
+    /// that is.
     expired,
 };
 
-/// "silent" and so on, for logs.
+/// The name of a fault for log events, such as "silent".
 const char* to_string(log_fault fault);
 
-/// How an append is guarded. At most one of the two is used.
+/// The condition of an append. At most one of the end offset and the epoch is set.
 struct append_guard {
-    /// Only if the stream ends here.
+    /// Append only if the stream ends at this offset (compare-and-append).
     std::optional<std::uint64_t> at;
-    /// Only by the newest epoch, and once for each sequence number.
+    /// Append only if no higher epoch has been seen, and only once for each sequence number.
     std::optional<lease_epoch> epoch;
     std::uint64_t sequence = 0;
 };
@@ -82,32 +87,36 @@
     std::uint64_t first = 0;
 };
 
-/// A page of the newest records of all keys; not a snapshot.
+/// One page of the newest record of each key, in key order. Pages are not a consistent snapshot:
+/// the stream may change between them.
 struct newest_result {
     log_fault fault = log_fault::none;
     std::vector<stored_record> records;
-    /// The key to continue after; empty: this was the last page.
+    /// The key after which the next page begins. Empty on the last page.
     std::string next_key;
     std::uint64_t end = 0;
 };
 
-/// The port to the log that outlives all hosts. Calls never block and call back once each within
-/// their timeout. Implemented by platform/ and by fakes in tests.
+/// Interface to the replicated log that survives the loss of all hosts. Calls never block; each
+/// calls back exactly once, within its timeout. Implemented in platform/ and by simulated logs in
+/// tests.
 class durable_log {
 public:
     virtual ~durable_log() = default;
     virtual void append(cell_stream stream, const std::vector<stored_record>& records,
                         const append_guard& guard, std::function<void(append_result)> done) = 0;
-    /// Answers as soon as there is a record at `from`, at the latest after `wait`.
+    /// Reads records from an offset on. Answers as soon as there is a record at that offset, at the
+    /// latest after `wait`.
     virtual void read(cell_stream stream, std::uint64_t from, duration wait,
                       std::function<void(read_result)> done) = 0;
     virtual void newest(cell_stream stream, const std::string& after_key,
                         std::function<void(newest_result)> done) = 0;
-    /// How long calls that read a stream wait without a byte, beyond the wait that they ask for.
-    /// One that is given up may still be answered, and takes its share of what the log can send.
+    /// Sets the timeout of reads of a stream: how long a read may go without receiving a byte,
+    /// beyond the wait that it asks for. The log may still answer a read that has timed out, and
+    /// that answer uses the log's bandwidth all the same.
     virtual void wait_for_reads(cell_stream, duration) {}
-    /// An append that has been sent for longer isn't done any more: appends wait in the log, and
-    /// one that would wait longer is refused.
+    /// The longest time that an append can wait in the log's queue; the log refuses appends that
+    /// would wait longer. An append that was sent longer ago than this can't take effect any more.
     virtual duration longest_queue() const { return duration::zero(); }
 };
 
--- a/include/figwinch/cell/job_entry.h
+++ b/include/figwinch/cell/job_entry.h
@@ -9,21 +9,22 @@
 
 namespace figwinch {
 
-/// A job as the log shows it. Part of `cell_state`.
+/// A job as recorded in the log. Part of `cell_state`.
 struct job_entry {
     job_id id;
-    /// Empty while only progress or a cancellation has been read: the streams are read apart. Of an
-    /// ended job without payload and steps.
+    /// Null while only progress or a cancellation has been read, since the streams are read
+    /// independently. Without payload and steps once the job has ended.
     std::shared_ptr<const job_spec> spec;
-    /// Where in the intake stream the job stands.
+    /// The offset of the job's record in the intake stream.
     std::uint64_t intake_offset = 0;
     bool cancel_wanted = false;
     bool begun = false;
     job_phase phase = job_phase::open;
-    /// The newest progress record as stored; decoded by whoever becomes coordinator.
+    /// The newest progress record, still encoded; a host decodes it when it becomes coordinator.
     std::string progress_record;
-    /// Workers to which runs of tasks were to go that have no `task_progress::ordered_to` of their
-    /// own, recorded before the orders went out. No run of them can be on any other worker.
+    /// Workers to which the coordinator was about to send tasks of this job; recorded before the
+    /// start orders are sent. A run of such a task can't be on any other worker. Tasks that have a
+    /// `task_progress::ordered_to` are not covered.
     worker_marks ordered_to;
 };
 
--- a/include/figwinch/cell/record_codec.h
+++ b/include/figwinch/cell/record_codec.h
@@ -11,7 +11,7 @@
 
 namespace figwinch {
 
-/// What a key of the cell's streams names: one letter, then the id.
+/// The type of a record, encoded as the first letter of its key; the rest of the key is the id.
 enum class record_kind : char {
     job = 'j',
     cancellation = 'c',
@@ -23,8 +23,8 @@
 
 std::string record_key(record_kind kind, std::string_view id);
 
-/// Records in protobuf (proto/cell.proto). Decoders return nothing on bytes that they can't read
-/// or that break the bounds of `check_job`.
+/// Records are encoded in protobuf (proto/cell.proto). Decoders return nothing if the bytes can't
+/// be parsed, or if a job exceeds the limits of `check_job`.
 std::string encode_job(const job_spec& job);
 std::optional<job_spec> decode_job(std::string_view bytes);
 std::string encode_progress(const job_progress& progress);
@@ -32,7 +32,8 @@
 std::string encode_worker(const worker_entry& worker);
 std::optional<worker_entry> decode_worker(std::string_view bytes);
 
-/// One record of the reigns stream.
+/// One record of the leader election: the host that claims, renews or resigns the coordinator role,
+/// and its address.
 struct reign_record {
     enum class kind { claim, renewal, resignation };
     kind what = kind::claim;
--- a/include/figwinch/cell/stream_reads.h
+++ b/include/figwinch/cell/stream_reads.h
@@ -6,14 +6,15 @@
 
 namespace figwinch {
 
-/// What a process has read of one stream since its start.
+/// Statistics of one process's reads of one stream since the process started.
 struct stream_reads {
     std::uint64_t calls = 0;
-    /// Of the answers' bodies.
+    /// Bytes of the bodies of the answers.
     std::uint64_t bytes = 0;
-    /// Reads that were given up without a whole answer. The log may still have sent one.
+    /// Reads that timed out without a complete answer. The log may still have sent one.
     std::uint64_t given_up = 0;
-    /// From the begin of the calls to their ends, in all. A read may wait for a record.
+    /// The total duration of all reads, including the time that the log held them until there was a
+    /// record.
     duration taken{};
 };
 
--- a/src/cell/cell_state.cpp
+++ b/src/cell/cell_state.cpp
@@ -7,8 +7,8 @@
 namespace figwinch {
 namespace {
 
-/// What an ended job is still asked for: its state, its queue and its age. Payload and steps are
-/// most of what a job takes.
+/// Returns a copy of an ended job without payload and steps, which take most of a job's memory.
+/// Callers still ask for the state, queue and age of ended jobs.
 std::shared_ptr<const job_spec> without_work(const job_spec& whole) {
     auto rest = std::make_shared<job_spec>();
     rest->queue = whole.queue;
@@ -21,7 +21,8 @@
     return rest;
 }
 
-/// Records of one job come in any order.
+/// Drops payload and steps if the job has ended. Called after the job record as well as after the
+/// progress record, since the two may be read in either order.
 void drop_work_if_ended(job_entry& job) {
     if (job.phase != job_phase::open && job.spec && !job.spec->steps.empty())
         job.spec = without_work(*job.spec);
@@ -30,8 +31,7 @@
 } // namespace
 
 bool cell_state::is_newer(cell_stream stream, const stored_record& record) {
-    // Keys of different kinds never meet in two streams, but offsets of two streams can't be
-    // compared: the stream is part of the key.
+    // Offsets of different streams can't be compared, so that the stream is part of the key.
     std::string key = record.key;
     key += stream == cell_stream::intake ? '<' : '>';
     const auto [known, inserted] = newest_.try_emplace(std::move(key), record.offset);
@@ -75,7 +75,7 @@
     }
     job_entry& job = jobs_[id];
     job.id = id;
-    // A resend of a known job is the same job, whatever it says.
+    // The first record of a job counts: callers may send a job again, and the id identifies it.
     if (job.spec)
         return;
     std::optional<job_spec> spec = decode_job(*record.value);
@@ -155,7 +155,7 @@
 }
 
 void cell_state::clear() {
-    // Swapped out, so that their memory goes as well.
+    // Swapping with an empty map also frees the memory, which `clear` would keep.
     absl::flat_hash_map<job_id, job_entry>().swap(jobs_);
     absl::flat_hash_map<worker_id, worker_entry>().swap(workers_);
     absl::flat_hash_map<std::string, std::uint64_t>().swap(newest_);
