--- a/include/figwinch/cell/keyed_follower.h
+++ b/include/figwinch/cell/keyed_follower.h
@@ -9,17 +9,18 @@
 
 namespace figwinch {
 
-/// How a follower asks the log for what is new.
+/// How often, and with what wait, a follower reads a stream of the log.
 struct follow_pace {
-    /// How long one read may wait for a record; 0: answers at once.
+    /// How long the log may hold one read until there is a record; 0: the log answers at once.
     duration wait{};
-    /// Reads begin at least this far apart.
+    /// The minimum time between the starts of two reads.
     duration period = std::chrono::milliseconds(250);
 };
 
-/// Keeps up with one stream of the log: first the newest record of every key, then what is
-/// appended. When the log has forgotten what comes next, it starts over and reports keys that
-/// have gone meanwhile as dropped. Driven by `tick` and the log's answers.
+/// Follows one stream of the log: loads the newest record of every key in pages (snapshot load),
+/// then reads what is appended (tail reads). If the log no longer keeps the records that come next,
+/// the follower loads again and reports keys that have disappeared since as deleted. Driven by
+/// `tick` and the log's answers.
 class keyed_follower {
 public:
     keyed_follower(const clock& time, durable_log& log, cell_stream stream, follow_pace pace,
@@ -27,25 +28,29 @@
 
     void tick();
     void set_pace(follow_pace pace) { pace_ = pace; }
-    /// Reads up to the present end once, now; calls back with whether that succeeded.
+    /// Starts a read up to the present end of the stream at once; calls back with whether it
+    /// succeeded.
     void sync(std::function<void(bool)> done);
-    /// A record that this process appended itself and has applied.
+    /// Tells the follower of a record that this process has appended and already applied, so that
+    /// it isn't applied again.
     void skip(const stored_record& record);
-    /// Forgets what has been read. The next load begins once `from` has come.
+    /// Drops what has been read and cancels calls in flight. The next load starts at `from` at the
+    /// earliest.
     void reset(instant from);
-    /// Of a load, a call that gets no answer is followed by one that waits twice as long, up to
-    /// `longest`: what many hosts load together may be more than the log can send at once.
+    /// Sets the maximum read timeout. During a load the timeout doubles after each read that times
+    /// out, up to this maximum, since many hosts that load at the same time may exceed the log's
+    /// bandwidth.
     void wait_longer(duration longest) { longest_silence_ = longest; }
 
-    /// Whether every key has been read once.
+    /// Whether every key has been read at least once.
     bool is_loaded() const { return loaded_; }
     std::uint64_t next() const { return next_; }
-    /// Up to when all that was in the stream is known: the begin of the newest load, or of
-    /// the newest read that reached its end.
+    /// The time up to which all records of the stream are known: the start of the last load, or of
+    /// the last read that reached the end of the stream.
     instant current_at() const { return current_at_; }
-    /// When the log last answered.
+    /// When the log last answered a call.
     instant answered_at() const { return answered_at_; }
-    /// Whether the newest call went without an answer or was refused.
+    /// Whether the last call failed or timed out.
     bool is_failing() const { return failing_; }
 
 private:
@@ -61,7 +66,8 @@
     void take(const read_result& read);
     void sync_again();
     void take_record(const stored_record& record);
-    /// Remembers whether the key is there, for the drops at the end of a load.
+    /// Adds the record's key to the set, or removes it if the record deletes the key. At the end of
+    /// a load, keys that are in the old set only are reported as deleted.
     static void note_key(absl::flat_hash_set<std::string>& keys, const stored_record& record);
     void retry_later(log_fault fault);
     void note_answer();
@@ -77,9 +83,9 @@
     bool loaded_ = false;
     std::uint64_t next_ = 0;
     std::uint64_t load_end_ = 0;
-    /// The last key of the pages that have been read of a load in progress.
+    /// The last key of the pages read so far; empty if no load is in progress.
     std::string loaded_to_;
-    /// When what has been appended since the load began was last read.
+    /// When the records that were appended since the load began were last read.
     instant read_between_at_{};
     bool first_page_ = true;
     absl::flat_hash_set<std::string> keys_;
@@ -92,9 +98,9 @@
     bool failing_ = false;
     duration silence_ = least_silence;
     duration longest_silence_ = least_silence;
-    /// Since when the log hasn't answered for this stream.
+    /// Since when calls for this stream have failed.
     instant failing_since_{};
-    /// Syncs that the next read to begin will answer, and those that the present one will.
+    /// Callers of `sync` that wait for the next read, and those that wait for the read in flight.
     std::vector<std::function<void(bool)>> asked_;
     std::vector<std::function<void(bool)>> being_answered_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/include/figwinch/cell/progress_writer.h
+++ b/include/figwinch/cell/progress_writer.h
@@ -8,31 +8,32 @@
 
 namespace figwinch {
 
-/// The coordinator's one writer to the progress stream. Gathers records and appends them in
-/// batches, one batch at a time, each under the epoch and a sequence number: a batch that is sent
-/// again takes effect once, and a deposed coordinator's batches are refused. A batch without an
-/// answer for several times the usual is sent again beside the first append, since all that follows
-/// waits for it. Owned by the coordinator's host for one reign.
+/// The coordinator's only writer to the progress stream. Collects records and appends them in
+/// batches, one batch at a time. Each batch carries the epoch and a sequence number: a batch that
+/// is sent twice takes effect once, and batches of a superseded coordinator are refused. All later
+/// records wait for the batch in flight, so a batch that gets no answer for several times the usual
+/// latency is sent again without waiting for the first append to time out. Owned by the
+/// coordinator's host for one leadership term.
 class progress_writer {
 public:
-    /// `applied` gets each record once the log has it, in order; `deposed` is called when a higher
-    /// epoch has been seen.
+    /// `applied` is called with each record, in order, once the log has stored it. `deposed` is
+    /// called when the log has seen a higher epoch.
     progress_writer(const clock& time, durable_log& log, lease_epoch epoch,
                     std::function<void(const stored_record&)> applied,
                     std::function<void()> deposed);
 
-    /// Fences earlier epochs; `done` is called once nobody else can append, with the end of the
-    /// stream.
+    /// Fences earlier epochs. Calls `done` with the end offset of the stream once no earlier epoch
+    /// can append any more.
     void fence(std::function<void(std::uint64_t end)> done);
-    /// Writes one record; `committed` is called after it and all earlier ones are in the log.
+    /// Queues one record. Calls `committed` once this record and all earlier ones are stored.
     void write(stored_record record, std::function<void()> committed = nullptr);
-    /// Calls `committed` once all that was written so far is in the log; at once when it is.
+    /// Calls `committed` once all records queued so far are stored; immediately if none is pending.
     void barrier(std::function<void()> committed);
-    /// Sends what waits, when it is time.
+    /// Sends or resends a batch when it is due.
     void tick();
 
     bool is_idle() const { return waiting_.empty() && !is_on_its_way(); }
-    /// Records that the log hasn't confirmed.
+    /// The number of records that the log hasn't confirmed yet.
     std::size_t unconfirmed() const { return waiting_.size() + batch_.size(); }
 
 private:
@@ -58,15 +59,16 @@
     std::deque<entry> waiting_;
     std::vector<entry> batch_;
     std::function<void(std::uint64_t)> fenced_;
-    /// Appends of the present batch without an answer.
+    /// Appends of the current batch that have not been answered yet.
     std::size_t appends_on_way_ = 0;
     bool stopped_ = false;
     std::uint64_t sequence_ = 0;
-    /// Goes up when a batch is settled: answers to its other appends are dropped.
+    /// The number of batches that have been stored. Answers to further appends of a stored batch
+    /// are ignored.
     std::uint64_t settled_ = 0;
     instant next_send_{};
     instant next_repeat_{};
-    /// What the newest answer took.
+    /// How long the last answered append took.
     duration answer_time_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/cell/keyed_follower.cpp
+++ b/src/cell/keyed_follower.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr duration retry_period = std::chrono::milliseconds(200);
-// The log keeps its history for longer than a page takes, and not for as long as all of them may.
+// How often a load reads appended records between its pages. The log keeps its history for longer
+// than one page takes to load, but not for as long as all pages may take.
 constexpr duration between_period = std::chrono::seconds(3);
 
 } // namespace
@@ -45,17 +46,17 @@
 }
 
 void keyed_follower::skip(const stored_record& record) {
-    // While it loads, what is appended is read after the pages.
+    // Records appended during a load are read after its pages.
     if (!loaded_ || record.offset < next_)
         return;
-    // Only without a gap: what others appended before has still to be read.
+    // Only without a gap: records that others have appended before this one have yet to be read.
     if (record.offset == next_)
         next_ = record.offset + 1;
     note_key(keys_, record);
 }
 
 void keyed_follower::reset(instant from) {
-    // Answers on their way are dropped.
+    // Expires the weak references of calls in flight, so that their answers are ignored.
     alive_ = std::make_shared<bool>(true);
     busy_ = false;
     loaded_ = false;
@@ -65,8 +66,8 @@
     finish_syncs(false);
 }
 
-/// Reads the next page. A page that fails is read again by itself: a host on a slow link may never
-/// get all pages of a large stream in a row.
+/// Reads the next page of a load. After a failure only this page is read again: a host on a slow
+/// link might never read all pages of a large stream without a failure.
 void keyed_follower::load() {
     busy_ = true;
     log_.newest(stream_, loaded_to_,
@@ -82,7 +83,8 @@
     if (page.fault != log_fault::none)
         return retry_later(page.fault);
     note_answer();
-    // Pages are no snapshot: what changes while they are read stands after the first page's end.
+    // Pages aren't a consistent snapshot: changes made while they are read are at or after the
+    // first page's end offset, and are read from there.
     if (std::exchange(first_page_, false)) {
         load_end_ = page.end;
         next_ = page.end;
@@ -99,8 +101,8 @@
     load();
 }
 
-/// Follows what is appended while a long load goes on: at its end the log may have forgotten it,
-/// and the load would begin again.
+/// Reads appended records while a long load is in progress. If they were read only after the load,
+/// the log might have dropped them, and the load would have to start again.
 void keyed_follower::read_between_pages() {
     busy_ = true;
     log_.read(stream_, next_, duration::zero(),
@@ -177,7 +179,8 @@
     for (const stored_record& record : read.records)
         take_record(record);
     const bool behind = next_ < read.end;
-    // What is there is more than one read brings.
+    // Records exist but the read returned none, because the next record exceeds the size of one
+    // read: load the newest records instead.
     if (behind && read.records.empty()) {
         loaded_ = false;
         next_read_ = time_.now() + retry_period;
@@ -194,15 +197,16 @@
         tick();
 }
 
-/// One read answers with a page: a copy that is further behind has more to read, and a reign that
-/// began on part of it would not know what its predecessor wrote last.
+/// Keeps the callers of `sync` waiting for another read, because one read returns only a page and
+/// this one didn't reach the end of the stream. A coordinator that started its term on part of the
+/// records wouldn't know the last records of its predecessor.
 void keyed_follower::sync_again() {
     asked_.insert(asked_.end(), being_answered_.begin(), being_answered_.end());
     being_answered_.clear();
 }
 
 void keyed_follower::take_record(const stored_record& record) {
-    // Appended by this process and applied while the read was on its way.
+    // Already applied: appended by this process while the read was in flight.
     if (record.offset < next_)
         return;
     next_ = record.offset + 1;
--- a/src/cell/progress_writer.cpp
+++ b/src/cell/progress_writer.cpp
@@ -6,17 +6,20 @@
 namespace figwinch {
 namespace {
 
-// One append costs the platform as much with one record as with fifty. At 165 ends a second a
-// batch every 25 ms gathers four, and callers see a job's end 12 ms later on average.
+// An append costs the platform the same with one record as with fifty. At 165 task ends per second
+// a period of 25 ms collects four records per batch and delays the end that a caller sees by 12 ms
+// on average.
 constexpr duration batch_period = std::chrono::milliseconds(25);
 constexpr duration retry_period = std::chrono::milliseconds(150);
-// An answer that takes longer than this and than several times the one before it may be lost.
+// An append is sent again if its answer takes longer than this and than several times the previous
+// one: the answer may be lost.
 constexpr duration least_repeat_after = std::chrono::milliseconds(100);
 constexpr int repeat_factor = 4;
-// A log that became slow gets no more than these of one batch.
+// Limits the copies of one batch in flight, so that resends don't overload a log that has become
+// slow.
 constexpr std::size_t most_on_way = 3;
 constexpr std::size_t most_records = 500;
-// Passes a link of 1 Mbit/s in a second: what follows waits for it.
+// A batch of this size passes a link of 1 Mbit/s in about one second; later records wait for it.
 constexpr std::size_t most_bytes = std::size_t{128} * 1024;
 
 std::size_t size_of(const stored_record& record) {
@@ -106,7 +109,8 @@
                 });
 }
 
-/// A refusal or silence says nothing of the batch's other appends.
+/// Handles the answer to one append. An error or a timeout says nothing about other appends of the
+/// same batch, which may still succeed.
 void progress_writer::take(const append_result& result) {
     --appends_on_way_;
     switch (result.fault) {
