--- a/include/figwinch/cell/reign.h
+++ b/include/figwinch/cell/reign.h
@@ -11,73 +11,77 @@
 
 class resignation;
 
-/// Who the coordinator is, as far as a host knows.
+/// The current coordinator and its term, as far as a host knows.
 struct reign_view {
     incarnation_id holder;
     std::string bus_address;
     lease_epoch epoch;
 };
 
-/// Times of the election. Grounds: a renewal is one append (some ms); a successor takes over after
-/// three renewals have been missed, within the 2.5 s that callers notice.
+/// Timing of the leader election. A renewal is one append (a few ms). A successor takes over after
+/// three missed renewals, which is within the 2.5 s that callers notice.
 struct reign_times {
     duration renew_every = std::chrono::milliseconds(400);
     duration takeover_after = std::chrono::milliseconds(1300);
     duration retry_after = std::chrono::milliseconds(150);
-    /// How long this host lets others claim first. A coordinator makes some hundred calls a second
-    /// for every hundred workers; a host with a small share of a core falls behind, and then every
-    /// answer comes after its timeout.
+    /// How long this host waits before it claims, so that hosts with more CPU claim first. A
+    /// coordinator makes some hundred calls a second for every hundred workers; a host with a small
+    /// share of a core falls behind and reads every answer after its timeout.
     duration modesty{};
 };
 
-/// The modesty of a host with a share of a core: none from a quarter of a core on, a second
-/// at none.
+/// The claim delay of a host with this share of a core: none from a quarter of a core on, one
+/// second for a share of 0.
 duration modesty_of(double cpu_share);
 
-/// Elects one coordinator among hosts through a stream of the log. Every record is appended on the
-/// condition that the stream ends where its writer thinks (compare-and-append), so that the records
-/// form one history: a claim starts a reign, its offset gives the epoch, renewals carry it on. A
-/// host claims when the log answers and shows no renewal for `takeover_after`, or at once after a
-/// resignation. Rules only: `tick` and the log's answers drive it. Owned by the host's daemon.
+/// Elects one coordinator among the hosts through a stream of the log. Every record is appended
+/// only if the stream still ends at the offset up to which its writer has read
+/// (compare-and-append), so that all hosts see the same history: a claim starts a leadership term,
+/// its offset gives the epoch, renewals extend the term. A host claims when the log answers and
+/// shows no renewal for the takeover timeout, or at once after a resignation. Does no I/O of its
+/// own: driven by `tick` and the log's answers. Owned by the host's daemon.
 class reign {
 public:
-    /// `self` names this life of the process.
+    /// `self` identifies this incarnation of the process.
     reign(const clock& time, durable_log& log, incarnation_id self, std::string bus_address,
           const reign_times& times);
     ~reign();
 
     void tick();
-    /// Gives up the reign and never claims again, for a planned stop. `tick` goes on until the log
-    /// has the resignation.
+    /// Ends this host's term and never claims again, for a planned shutdown. Keep calling `tick`
+    /// until the log has stored the resignation.
     void resign();
-    /// The process ends: what the log doesn't have of a resignation is given up.
+    /// Stops trying to store the resignation, because the process ends.
     void abandon_resignation();
-    /// Gives up the reign after another sign of a higher epoch; may claim again later.
+    /// Steps down after other evidence of a higher epoch, or because this host can't do the work.
+    /// May claim again later.
     void yield();
-    /// Whether this host claims when its turn comes; it does unless told otherwise.
+    /// Sets whether this host may claim the coordinator role; true by default.
     void stand(bool standing) { standing_ = standing; }
 
     bool leads() const { return leads_; }
-    /// Whether the log shows no coordinator.
+    /// Whether the log shows that there is no coordinator.
     bool is_vacant() const { return claim_now_; }
-    /// Whether this host has given up for good.
+    /// Whether this host has resigned for good.
     bool has_resigned() const { return resigned_; }
     lease_epoch epoch() const { return epoch_; }
-    /// Whether the reign before this one ended by resignation.
+    /// Whether the predecessor is known to have ended, by its resignation or by a restart of its
+    /// host, when this host's term began.
     bool follows_resignation() const { return follows_resignation_; }
-    /// Who held the reign before this one; nothing when it resigned or there was none.
+    /// The coordinator of the previous term; nothing if it resigned or if there was none.
     const std::optional<reign_view>& predecessor() const { return predecessor_; }
-    /// Until when coordinators before this reign may have acted: up to their resignation, or for
-    /// `silence_limit` after their last record.
+    /// The time until which predecessors may have sent orders: their resignation, or
+    /// `silence_limit` after their last record in the log.
     instant predecessors_acted_until() const { return acted_until_; }
-    /// Until when they may have prolonged leases in full: as above, with `prolonging_limit`.
+    /// The time until which predecessors may have renewed worker leases for the full duration:
+    /// their resignation, or `prolonging_limit` after their last record in the log.
     instant predecessors_prolonged_until() const { return prolonged_until_; }
-    /// When the newest confirmation of this reign was asked for.
+    /// When the claim or renewal that the log confirmed last was sent.
     instant confirmed_at() const { return confirmed_at_; }
-    /// Whether the log has confirmed this reign within `fresh_reign`.
+    /// Whether this host is coordinator and the log has confirmed it within `fresh_reign`.
     bool is_fresh() const;
     const std::optional<reign_view>& current() const { return current_; }
-    /// Whether the log's last answer to this host was an answer.
+    /// Whether the log's last reply to this host was an answer, not an error or a timeout.
     bool log_answers() const { return log_answers_; }
 
 private:
@@ -108,11 +112,11 @@
     bool leads_ = false;
     bool log_answers_ = false;
     bool claim_now_ = false;
-    /// When the reign was first seen vacant.
+    /// Since when the log has shown no coordinator.
     std::optional<instant> vacant_since_;
     bool vacant_ = false;
     bool follows_resignation_ = false;
-    /// When the newest record was written at the latest.
+    /// The latest time at which the newest record can have been written.
     instant heard_at_{};
     instant acted_until_{};
     instant prolonged_until_{};
@@ -123,7 +127,8 @@
     std::optional<reign_view> current_;
     std::optional<reign_view> predecessor_;
     std::unique_ptr<resignation> resignation_;
-    /// Expires with this object: answers that come later are dropped.
+    /// Expires with this object. Callbacks hold a weak reference and ignore answers that come
+    /// later.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/cell/reign.cpp
+++ b/src/cell/reign.cpp
@@ -33,13 +33,14 @@
 
 void reign::tick() {
     const instant now = time_.now();
-    // Beside what this host reads for itself, which may be waiting for an answer that got lost.
+    // The resignation doesn't wait for `busy_`: a read of the election may be waiting for a lost
+    // answer.
     if (resignation_)
         resignation_->tick();
     if (leads_ && now - confirmed_at_ > silence_limit) {
         leads_ = false;
-        // Whoever else may have claimed meanwhile has moved the stream's end, so that a claim at
-        // the known end can only succeed when nobody has.
+        // A claim of another host since then has moved the stream's end, so that a claim at the
+        // known end offset succeeds only if there is none.
         set_vacant(true);
     }
     if (busy_ || now < next_try_)
@@ -61,10 +62,11 @@
         give_back(end_);
 }
 
-/// By the log this host holds the reign at `end` and has resigned. That may show only later: a
-/// claim that was on its way is stored all the same, and without a word of its own the others would
-/// wait for renewals that can't come. Behind a claim of another's it must not be said, which is why
-/// nothing is appended before the log has shown the host's own.
+/// Starts to write the resignation after the log has shown that this host holds the term at `end`
+/// although it has resigned. That may show late: a claim that was in flight when the host resigned
+/// is still stored, and without a resignation the other hosts would wait for renewals that never
+/// come. A resignation after another host's claim would end that host's term, so nothing is
+/// appended before the log has shown this host's own claim.
 void reign::give_back(std::uint64_t end) {
     if (!resignation_)
         resignation_ = std::make_unique<resignation>(time_, log_, self_, bus_address_, end);
@@ -93,18 +95,20 @@
                   }
                   const bool vacant = take_records(read.records);
                   end_known_ = true;
-                  // The first page may not reach the end; the rest is read from where it stopped.
+                  // The first page may not reach the end of the stream; the next read continues
+                  // after it.
                   end_ = read.records.empty()
                              ? (read.fault == log_fault::expired ? read.first : read.end)
                              : read.records.back().offset + 1;
-                  // Nobody has ever reigned: there is no renewal to wait for.
+                  // An empty stream: there has never been a coordinator whose renewals could be
+                  // missed.
                   set_vacant(vacant || read.end == 0);
               });
 }
 
 void reign::follow() {
     busy_ = true;
-    // While it lets others claim first, it only looks whether one has.
+    // While this host delays its claim, it polls for claims of other hosts.
     const duration wait = claim_now_ ? modest_look : times_.takeover_after;
     log_.read(cell_stream::reigns, end_, wait,
               [this, weak = std::weak_ptr(alive_), asked = time_.now()](const read_result& read) {
@@ -137,8 +141,8 @@
         end_ = read.records.back().offset + 1;
         return set_vacant(take_records(read.records));
     }
-    // The log has answered and had nothing new all the while: the coordinator's renewals are
-    // overdue.
+    // The log answered and had no new record for the whole takeover timeout: the coordinator has
+    // missed its renewals.
     set_vacant(claim_now_ || waited);
 }
 
@@ -163,10 +167,11 @@
             end_ = result.offset + 1;
             return lead(result.offset, asked);
         }
-        // Another claimed first: the next read tells who.
+        // Another host claimed first; the next read shows which one.
         if (result.fault == log_fault::moved)
             return;
-        // Nobody knows. The judgement holds as long as the stream ends where it did.
+        // The claim may have been stored or not. Claiming again is safe, since it succeeds only if
+        // the stream still ends at the known offset.
         set_vacant(true);
         next_try_ = time_.now() + times_.retry_after;
     });
@@ -175,10 +180,11 @@
 void reign::lead(std::uint64_t claimed_at, instant confirmed) {
     if (resigned_)
         return give_back(claimed_at + 1);
-    // What this process wrote itself is the newest that the reign before has of the log.
+    // If the previous term was this process's own, its last record is its last confirmed renewal.
     if (current_ && current_->holder == self_)
         heard_at_ = std::max(heard_at_, confirmed_at_);
-    // A claim of ours that was read before its answer came has counted it already.
+    // The previous term is counted already if this claim was read from the log before its answer
+    // arrived.
     const lease_epoch claimed(claimed_at + 1);
     if (current_ && current_->epoch != claimed)
         count_current();
@@ -209,8 +215,9 @@
     });
 }
 
-/// The stream ends elsewhere than thought: by an own renewal whose answer was lost, which carries
-/// the reign on, or by another's claim, which ends it.
+/// Handles a renewal that was refused because the stream's end has moved. Either an earlier renewal
+/// of this host was stored and its answer lost, which continues the term, or another host has
+/// claimed, which ends it.
 void reign::take_moved() {
     busy_ = true;
     log_.read(cell_stream::reigns, end_, duration::zero(),
--- a/src/cell/reign_records.cpp
+++ b/src/cell/reign_records.cpp
@@ -7,7 +7,7 @@
 namespace figwinch {
 namespace {
 
-/// The host that a life of a process ran on: "host-1" of "host-1#8842".
+/// The host of a process incarnation: "host-1" of "host-1#8842".
 std::string_view node_of(const incarnation_id& life) {
     const std::string_view text = life.str();
     return text.substr(0, text.find('#'));
@@ -15,7 +15,7 @@
 
 } // namespace
 
-/// Takes in what others wrote. Returns whether the reign is vacant.
+/// Applies records of the election stream. Returns whether they show that there is no coordinator.
 bool reign::take_records(const std::vector<stored_record>& records) {
     bool vacant = false;
     instant written_by = latest_begin(records);
@@ -35,13 +35,13 @@
             read->what == reign_record::kind::claim)
             current_ = {read->holder, read->bus_address, lease_epoch(record.offset + 1)};
     }
-    // A holder of this host's name that isn't this process is the process before it, which is gone.
+    // Another incarnation of this host's process has ended, since this one runs.
     const bool ours =
         current_ && current_->holder != self_ && node_of(current_->holder) == node_of(self_);
     vacant = vacant || ours;
     if (!records.empty())
         vacant_ = vacant;
-    // A claim of ours whose answer was lost counts from its record.
+    // This host's own claim, whose answer was lost: the term begins with the record.
     const bool own = current_ && current_->holder == self_ && !vacant;
     if (own && resigned_)
         give_back(records.back().offset + 1);
@@ -50,8 +50,8 @@
     return vacant;
 }
 
-/// Records don't say when they were written. Renewals are at least `retry_after` apart, so that a
-/// page that ends now can't have begun later than this.
+/// The latest time at which the first of these records can have been written. Records carry no
+/// time, but renewals are at least one retry delay apart and all were written before now.
 instant reign::latest_begin(const std::vector<stored_record>& records) const {
     const auto renewals = std::ranges::count_if(records, [](const stored_record& record) {
         const auto read = decode_reign(record.value.value_or(""));
@@ -60,9 +60,9 @@
     return time_.now() - times_.retry_after * static_cast<int>(renewals);
 }
 
-/// Takes in until when coordinators that were followed may have acted: the holder up to this record
-/// when it resigns or is followed, else `silence_limit` longer than its last record. A reign that
-/// came between doesn't shorten that.
+/// Updates the times until which predecessors may have acted. A coordinator acts until its
+/// resignation, or up to `silence_limit` after its last record if another host claims without one.
+/// A short term in between doesn't shorten that time.
 void reign::note_end_of(const reign_record& record, instant written_by) {
     const bool resigned = record.what == reign_record::kind::resignation;
     if (record.what == reign_record::kind::claim && current_)
@@ -76,8 +76,8 @@
     heard_at_ = written_by;
 }
 
-/// The present holder is followed. One that is known to have ended ordered nothing after its last
-/// record.
+/// Makes the current coordinator a predecessor. One that is known to have ended sent no orders
+/// after its last record; any other may have acted for `silence_limit` longer.
 void reign::count_current() {
     predecessor_ = current_;
     acted_until_ = std::max(acted_until_, heard_at_ + (vacant_ ? duration::zero() : silence_limit));
--- a/src/cell/resignation.cpp
+++ b/src/cell/resignation.cpp
@@ -8,8 +8,8 @@
 namespace figwinch {
 namespace {
 
-// Shorter than the store takes to be called silent: a try that got lost costs its successor this
-// much, and not half a second.
+// Shorter than the timeout of an append, about half a second: a lost attempt delays the successor
+// by this time only.
 constexpr duration retry_period = reign_times{}.retry_after;
 
 std::int64_t millis_of(duration span) {
@@ -31,9 +31,9 @@
         send();
 }
 
-/// A try may be lost on its way or its answer may be, which shows as no answer; then the next one
-/// goes out beside it. At most one of those for the same end can be stored, since each asks the
-/// stream to end there.
+/// Sends one attempt. If an attempt or its answer is lost, the next one is sent while the first is
+/// still in flight. At most one attempt for the same end offset can be stored, since each is
+/// conditional on that offset.
 void resignation::send() {
     ++tries_;
     next_try_ = time_.now() + retry_period;
@@ -45,7 +45,8 @@
                         return;
                     if (result.fault == log_fault::none)
                         return settle_stored();
-                    // Whoever has read further since has dealt with it.
+                    // If the end offset has changed since this attempt, newer records have been
+                    // read already.
                     if (result.fault == log_fault::moved && at == end_)
                         look();
                 });
@@ -59,11 +60,12 @@
               });
 }
 
-/// What came behind the known end: an own renewal that was on its way, which moves the end; an own
-/// resignation whose answer was lost; or another's claim. Behind that one a resignation would end
-/// the other's reign, so nothing is tried any more.
+/// Handles the records after the known end offset: a renewal of this host that was in flight moves
+/// the end; a resignation of this host was stored and its answer lost; or another host has claimed.
+/// After another host's claim a resignation would end that host's term, so no further attempt is
+/// made.
 void resignation::take(const read_result& result) {
-    // The next try finds the end moved again.
+    // The next attempt fails with a moved end again, and reads again.
     if (result.fault != log_fault::none || result.records.empty())
         return;
     for (const stored_record& record : result.records) {
--- a/src/cell/resignation.h
+++ b/src/cell/resignation.h
@@ -10,17 +10,17 @@
 
 namespace figwinch {
 
-/// Gets the resignation of a host that holds the reign into the log: appends it at the end of the
-/// stream, and again, until the log has it, another host has claimed, or the process ends. `tick`
-/// and the log's answers drive it. Owned by `reign`.
+/// Writes the resignation of a coordinator to the log: appends it at the end of the election
+/// stream, and retries until the log has stored it, another host has claimed, or the process ends.
+/// Driven by `tick` and the log's answers. Owned by the leader election.
 class resignation {
 public:
-    /// The stream has `holder` as the holder of the reign at `end`. Begins at once.
+    /// The log shows `holder` as coordinator up to offset `end`. Sends the first attempt at once.
     resignation(const clock& time, durable_log& log, const incarnation_id& holder,
                 const std::string& bus_address, std::uint64_t end);
 
     void tick();
-    /// The process ends: nothing more is tried.
+    /// Stops retrying, because the process ends.
     void abandon();
 
 private:
@@ -34,13 +34,14 @@
     durable_log& log_;
     incarnation_id holder_;
     std::string bytes_;
-    /// Up to here the stream has been read, and the reign is still the holder's.
+    /// The offset up to which the stream has been read; up to here `holder` is coordinator.
     std::uint64_t end_;
     instant begun_;
     instant next_try_{};
     std::int64_t tries_ = 0;
     bool settled_ = false;
-    /// Expires with this object: answers that come later are dropped.
+    /// Expires with this object. Callbacks hold a weak reference and ignore answers that come
+    /// later.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
