--- a/tests/cell/cell_history.cpp
+++ b/tests/cell/cell_history.cpp
@@ -19,17 +19,19 @@
 constexpr duration short_lease = seconds(6);
 constexpr duration long_lease = seconds(10);
 constexpr duration trouble_time = seconds(25);
-// Longer than every wait that the rules allow: silence limit, a lease, an unlisted worker's return.
+// Longer than every wait that a correct scheduler may need: the time that a coordinator acts
+// without the log, a worker lease, and the return of an unlisted worker.
 constexpr duration calm_time = seconds(45);
 
-/// Seeds below this one play the history that they were noted with; from it on workers go dark
-/// beside restarts too, and every other history has workers that grant long leases.
+/// Seeds below this one keep the faults with which they were recorded as regression tests. From
+/// this seed on a worker may also be unreachable during a restart of the coordinator, and workers
+/// grant long leases in every other history.
 constexpr std::uint64_t first_beside_dark = 5'000'000;
 
-/// From this one on hosts pass the coordinator's orders on, and suffer from faults of their own.
+/// From this seed on hosts relay the coordinator's orders, and the relays have faults of their own.
 constexpr std::uint64_t first_linked = 20'000'000;
 
-/// From this one on there are hosts that keep no copy of the jobs.
+/// From this seed on there are hosts that keep no copy of the jobs and ask read replicas.
 constexpr std::uint64_t first_asking = 22'000'000;
 
 bool is_beside_dark(std::uint64_t seed) {
@@ -46,14 +48,14 @@
     return is_linked(seed) ? linked_host_count : host_count;
 }
 
-/// Long leases make a successor wait for long where it has to; short ones run out beside faults.
+/// Long leases lengthen the waits of a successor; short leases expire during faults.
 cell_settings settings_for(std::uint64_t seed) {
     cell_settings settings;
     settings.max_hold = is_beside_dark(seed) && seed % 2 != 0 ? long_lease : short_lease;
     return settings;
 }
 
-/// One history under way.
+/// One randomized history while it runs.
 class history {
 public:
     history(std::uint64_t seed, std::size_t faults)
@@ -111,7 +113,7 @@
                 world_.cancel(host, id);
             });
     }
-    /// Callers ask again at another host until they have a final answer.
+    /// Submits a job as a caller does: again at another host until there is a final answer.
     void hand_in(const std::string& id, const job_spec& job) {
         const std::size_t host = draw_host();
         if (world_.host(host) == nullptr) {
@@ -119,7 +121,7 @@
             return;
         }
         const auto told = world_.submit(host, id, job);
-        // `lasting_rule` knows the coordinator's own ways to the workers only.
+        // `lasting_rule` models only cells in which the coordinator reaches workers directly.
         if (job.steps.front().lasting && !linked_)
             lasting_.follow(id, told);
         world_.time().after(milliseconds(3200), [=, this] {
--- a/tests/cell/cell_history.h
+++ b/tests/cell/cell_history.h
@@ -4,17 +4,17 @@
 
 namespace figwinch::sim {
 
-/// What a history found. Empty text: every rule was kept and every job came to its end.
+/// The result of one history. An empty `fault`: no invariant was violated and every job ended.
 struct history_outcome {
     std::string fault;
     std::uint64_t starts = 0;
     std::uint64_t faults_played = 0;
 };
 
-/// Plays one random history of a cell: jobs of all kinds, with as many faults as named, some at the
-/// same time; then calm. During it no rule may be broken, that of lasting tasks included
-/// (`lasting_rule`), and after it every job that was accepted has to end, and every lasting task to
-/// run.
+/// Runs one randomized history of a cell: jobs of all kinds with the given number of faults, some
+/// at the same time, then a phase without faults. No invariant may be violated at any time,
+/// including the time limit on restarts of service tasks (`lasting_rule`). At the end every
+/// accepted job must have ended and every service task must run.
 history_outcome play_history(std::uint64_t seed, std::size_t faults);
 
 } // namespace figwinch::sim
--- a/tests/cell/cell_history_test.cpp
+++ b/tests/cell/cell_history_test.cpp
@@ -12,16 +12,16 @@
 namespace {
 
 #ifdef __SANITIZE_ADDRESS__
-// Slower by a factor of ten there; the plain build plays the rest.
+// The sanitizer build is ten times slower and runs fewer seeds; the plain build runs all of them.
 constexpr std::uint64_t usual_seeds = 100;
 #else
 constexpr std::uint64_t usual_seeds = 2500;
 #endif
 
-/// Story of each history: callers hand in jobs while hosts, workers and the store fail in random
-/// ways, some together. Whatever happens, no task runs twice or over a worker's room or before its
-/// turn, a lasting task that has room and isn't in doubt itself runs again within seconds, and when
-/// the trouble is over every accepted job comes to its end.
+/// Randomized histories: callers submit jobs while hosts, workers and the store fail at random,
+/// some at the same time. No task may run twice at the same time, exceed its worker's capacity or
+/// start before the steps it depends on. A service task that has room, and of which no orphaned run
+/// can exist, must run again within seconds. After the faults every accepted job must end.
 class cell_history_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(cell_history_test);
     CPPUNIT_TEST(calm_histories);
@@ -41,12 +41,13 @@
     static constexpr std::uint64_t recorded_beside_partings = 4'001'194;
     static constexpr std::uint64_t recorded_before_freeze = 4'003'866;
 
-    /// Seeds of one kind of history; FIGWINCH_HISTORY_SEEDS plays others, for hunts by hand.
+    /// The number of seeds of each kind of history. FIGWINCH_HISTORY_SEEDS overrides it for long
+    /// searches, FIGWINCH_HISTORY_SEED runs a single seed.
     static std::uint64_t seeds() {
         const char* const wanted = std::getenv("FIGWINCH_HISTORY_SEEDS");
         return wanted != nullptr ? std::strtoull(wanted, nullptr, 10) : usual_seeds;
     }
-    /// Of cells with three times as many hosts.
+    /// Fewer seeds for cells with three times as many hosts, whose histories take longer.
     static std::uint64_t large_cell_seeds() { return seeds() / 20; }
     static void play(std::size_t faults, std::uint64_t first) { play(faults, first, seeds()); }
     static void play(std::size_t faults, std::uint64_t first, std::uint64_t count) {
@@ -58,11 +59,11 @@
         }
         std::uint64_t starts = 0;
         std::string broken;
-        // Seeds with a test of their own.
+        // Seeds that have a test case of their own below.
         const auto is_noted = [](std::uint64_t seed) {
             return seed == recorded_beside_partings || seed == recorded_before_freeze;
         };
-        // Plays on after a fault, so that one seed that is known doesn't hide others.
+        // Continues after a violation, so that a seed that is known to fail doesn't hide others.
         for (std::uint64_t seed = first; seed < first + count; ++seed) {
             if (is_noted(seed))
                 continue;
@@ -73,7 +74,7 @@
                           ": " + outcome.fault;
         }
         CPPUNIT_ASSERT_EQUAL(std::string(), broken);
-        // A history in which nothing happens proves nothing.
+        // Guards against histories in which nothing is started, which would check nothing.
         CPPUNIT_ASSERT(starts > 5 * count);
     }
 
@@ -83,27 +84,28 @@
     void histories_with_two_faults() { play(2, 3'000'000); }
     void histories_with_six_faults() { play(6, 4'000'000); }
     void histories_beside_dark_workers() { play(3, 5'000'000); }
-    /// Guards against orders that a host passes on late, twice or for a coordinator that was
-    /// followed: each history has as many faults of such hosts besides.
+    /// Guards against orders that a relay delivers late, twice, or for a coordinator that has a
+    /// successor. Each history has as many additional faults of relays.
     void histories_with_orders_passed_on() { play(1, 20'000'000); }
     void histories_with_orders_passed_on_and_six_faults() { play(6, 21'000'000); }
-    /// Guards against hosts that keep no copy of the jobs and answer wrong, or take the reign
-    /// without one.
+    /// Guards against hosts without a copy of the jobs that answer callers incorrectly or become
+    /// coordinator.
     void histories_of_hosts_that_ask() { play(1, 22'000'000, large_cell_seeds()); }
     void histories_of_hosts_that_ask_and_six_faults() { play(6, 23'000'000, large_cell_seeds()); }
-    /// Guards against leases so long that a task which was recorded on a lost worker is down for
-    /// more than its bound.
+    /// Guards against leases so long that a service task assigned to a lost worker is down for
+    /// longer than the limit.
     void lasting_tasks_that_were_recorded_without_an_order_run_in_time() {
         constexpr std::array<std::uint64_t, 3> noted = {7'001'533, 7'001'942, 12'001'586};
         for (const std::uint64_t seed : noted)
             CPPUNIT_ASSERT_EQUAL(std::string(), play_history(seed, 6).fault);
     }
-    /// Guards against a task that waits for a worker out of reach on which the reign before had
-    /// only recorded it.
+    /// Guards against a service task that waits for an unreachable worker on which the previous
+    /// coordinator recorded it but never started it.
     void a_lasting_task_recorded_beside_two_partings_runs_in_time() {
         CPPUNIT_ASSERT_EQUAL(std::string(), play_history(recorded_beside_partings, 6).fault);
     }
-    /// Guards against the same after a coordinator that froze.
+    /// The same for a task that a coordinator recorded, without starting it, just before its
+    /// process froze.
     void a_lasting_task_recorded_before_a_freeze_runs_in_time() {
         CPPUNIT_ASSERT_EQUAL(std::string(), play_history(recorded_before_freeze, 6).fault);
     }
--- a/tests/cell/cell_recovery_test.cpp
+++ b/tests/cell/cell_recovery_test.cpp
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What becomes of jobs and tasks when a coordinator, a worker or everything goes.
+/// Recovery of jobs and tasks after the loss of a coordinator, of a worker, or of all hosts.
 class cell_recovery_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(cell_recovery_test);
     CPPUNIT_TEST(an_accepted_job_outlives_the_power_of_all_hosts);
@@ -61,8 +61,8 @@
     }
 
 public:
-    /// Story: a caller gets its 2xx, and in the next millisecond all hosts lose power. After they
-    /// are back the job is there and runs.
+    /// All hosts lose power in the millisecond after a caller's job was accepted. After their
+    /// restart the job must still be known and run.
     void an_accepted_job_outlives_the_power_of_all_hosts() {
         begin();
         const auto told = world_.submit(1, "a", short_job(3));
@@ -78,8 +78,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("a"));
         kept_the_rules();
     }
-    /// Story: the coordinator is killed while tasks run. The next one finds them on the workers and
-    /// lets them go on: none is started a second time.
+    /// The coordinator is killed while tasks run. Its successor must find them on the workers and
+    /// let them continue instead of starting them again.
     void running_tasks_go_on_under_the_next_coordinator() {
         begin();
         world_.submit(0, "a", lasting(6));
@@ -97,8 +97,8 @@
         CPPUNIT_ASSERT_EQUAL(starts, world_.watch().starts);
         kept_the_rules();
     }
-    /// Story: a coordinator is frozen for longer than the others wait. When it wakes it believes
-    /// that it leads; neither workers nor the log take its word.
+    /// A coordinator freezes for longer than the takeover timeout. When it resumes it still
+    /// believes that it is coordinator; workers and log must refuse its orders by their epoch.
     void a_fenced_predecessor_can_order_nothing() {
         begin();
         const std::size_t first = *world_.coordinator();
@@ -112,8 +112,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("a"));
         kept_the_rules();
     }
-    /// Story: a worker goes dark for good. Each unanswered hold used to carry a new end of lease,
-    /// so that the lease to be waited for never ended and its tasks were never started again.
+    /// A worker is lost for good. If each unanswered lease renewal postponed the expected lease
+    /// expiry, its tasks would never be started elsewhere.
     void tasks_of_a_worker_lost_for_good_run_elsewhere_after_its_lease() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -127,10 +127,10 @@
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
         kept_the_rules();
     }
-    /// Story: the log is away for everybody for 6 s, and a worker is lost meanwhile. What the
-    /// worker may hold is over 5 s (the longest that its coordinator acts without the log) and a
-    /// lease after the last renewal that the log had; counted from the next claim, its tasks waited
-    /// 7 s longer.
+    /// The log is unavailable to all hosts for 6 s, and a worker is lost meanwhile. Its lease
+    /// expires at the latest 5 s (for how long a coordinator acts without the log) plus one lease
+    /// after the last renewal in the log. Counting from the successor's claim instead delays the
+    /// tasks by 7 s.
     void what_a_predecessor_may_have_held_is_counted_from_its_last_renewal() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -150,10 +150,10 @@
         for (std::uint32_t index = 0; index < 8; ++index)
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
     }
-    /// Story: a coordinator is parted from the log, but not from a worker that nobody else reaches,
-    /// and goes on holding that worker's tasks for 5 s. Its successor resigns within a second, as
-    /// in a rolling restart. The next one counted the lease from that resignation and started the
-    /// tasks elsewhere while they still ran.
+    /// A coordinator loses the log but still reaches a worker that no other host reaches, and
+    /// renews that worker's lease for 5 s. Its successor resigns within a second, as in a rolling
+    /// restart. A third coordinator that counts the lease from that resignation would start the
+    /// tasks elsewhere while they still run.
     void a_reign_between_doesnt_end_what_the_one_before_it_holds() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -175,9 +175,9 @@
         world_.time().run_for(seconds(12));
         kept_the_rules();
     }
-    /// Story: a run fails on a worker that is cut off, a later run of the task fails elsewhere,
-    /// then the first failure is reported. It counts although its run has the lower number, or the
-    /// task would be started once more than its attempts allow.
+    /// A run fails on an unreachable worker, a later run of the task fails elsewhere, then the
+    /// first failure is reported. The late report must count although its run number is lower;
+    /// otherwise the task gets one attempt too many.
     void a_late_failure_of_an_earlier_run_counts() {
         begin();
         world_.watch().failing = 1;
@@ -195,9 +195,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("failed"), phase("a"));
         kept_the_rules();
     }
-    /// Story: a job is accepted and started in the last moments of a reign. The next coordinator
-    /// sees its runs before it has read the job; it must neither stop them as strays nor start them
-    /// again.
+    /// A job is accepted and started just before the coordinator resigns. The successor sees the
+    /// runs on workers before it has read the job; it must neither stop them as orphaned runs nor
+    /// start them again.
     void a_run_of_a_job_that_is_not_read_yet_is_left_alone() {
         begin();
         for (int round = 0; round < 6; ++round) {
@@ -254,10 +254,10 @@
         }
         kept_the_rules();
     }
-    /// Story: a data centre is parted from the rest; its host coordinated, keeps two workers and a
-    /// little later loses the store. The others elect a successor, which prolongs the leases of the
-    /// other two workers. The parted host doesn't know of it: by its clock those leases run out.
-    /// What it started elsewhere then would run twice.
+    /// A network partition cuts off the coordinator with two of the four workers, and later also
+    /// from the log. The others elect a successor, which renews the leases of the other two
+    /// workers. By the old coordinator's clock those leases expire; if it then restarted their
+    /// tasks on its own workers, they would run twice.
     void a_parted_coordinator_doesnt_count_on_leases_running_out() {
         begin();
         world_.submit(0, "a", lasting(8));
@@ -279,8 +279,8 @@
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
         kept_the_rules();
     }
-    /// Story: a worker answers and reports, but what runs there gets on no more. Without a look at
-    /// percentages the job never ends.
+    /// A worker responds and reports, but its runs make no progress. Unless the coordinator
+    /// compares the reported progress over time, the job never ends.
     void tasks_that_stand_still_are_moved() {
         begin();
         world_.fleet().workers.at("w2").worker->hangs = true;
@@ -289,8 +289,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("a"));
         kept_the_rules();
     }
-    /// Story: a job asks for more than any worker has left, another for a label that none has, a
-    /// third is on its way. People ask the coordinator why the first two don't run.
+    /// One job occupies all workers, another needs a label that no worker has, a third needs more
+    /// room than is free. The coordinator's view must give the reason why each of the last two
+    /// waits.
     void people_see_why_a_job_waits() {
         begin();
         world_.submit(0, "a", lasting(16));
@@ -313,7 +314,7 @@
         CPPUNIT_ASSERT(waits.at("b") == job_wait::no_label);
         CPPUNIT_ASSERT(waits.at("c") == job_wait::no_room);
     }
-    /// Story: a caller sends the same job again at another host, seconds after the first was taken.
+    /// A caller sends a job again at another host, seconds after the first host accepted it.
     void a_resend_is_the_same_job() {
         begin();
         world_.submit(0, "a", short_job(2));
@@ -325,21 +326,21 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.watch().starts);
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("a"));
     }
-    /// Story: an append gets no answer, and its repetition is refused: the log is back, but not for
-    /// this host. The caller was held until its deadline, while the next host would have taken the
-    /// job. What became of the first append isn't known, so "not run" would be a lie.
+    /// An append gets no answer and its retry is refused: the log is back, but not for this host.
+    /// The caller must get an answer before its deadline, so that it can try another host, and the
+    /// answer must be "unknown", since the first append may have been stored.
     void a_caller_is_not_held_when_a_silent_log_comes_back_refusing() {
         begin();
         world_.host(0)->way_to_log().state = sim_log::way::silent;
         const auto told = world_.submit(0, "a", short_job(1));
         world_.time().run_for(milliseconds(300));
         world_.host(0)->way_to_log().state = sim_log::way::refused;
-        // The first append is given up after 0.8 s.
+        // The first append times out after 0.8 s.
         world_.time().run_for(milliseconds(900));
         CPPUNIT_ASSERT(told->has_value());
         CPPUNIT_ASSERT(**told == intake_outcome::unknown);
     }
-    /// Story: the log refuses, the caller is told that its job wasn't taken. It must never run.
+    /// The log refuses a job and the caller is told so. The job must never run.
     void a_refused_submission_never_runs() {
         begin();
         for (std::size_t host = 0; host < 3; ++host)
@@ -353,22 +354,21 @@
         world_.time().run_for(seconds(6));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, world_.watch().starts);
     }
-    /// Story: the log doesn't answer. Callers used to be held until just before their deadline of 3
-    /// s, and then had no time to ask elsewhere. They are told that the outcome isn't known
-    /// instead.
+    /// The log doesn't answer. A caller that is held until just before its deadline of 3 s has no
+    /// time left to try another host, so it must be told earlier that the outcome is unknown.
     void a_caller_is_not_held_while_the_log_is_silent() {
         begin();
         for (std::size_t host = 0; host < 3; ++host)
             world_.host(host)->way_to_log().state = sim_log::way::silent;
         const auto told = world_.submit(0, "a", short_job(1));
-        // Two appends of 0.8 s each; the wait of the first is when the others ask elsewhere.
+        // The host gives up after two append attempts, each with a timeout of 0.8 s.
         world_.time().run_for(milliseconds(1700));
         CPPUNIT_ASSERT(told->has_value());
         CPPUNIT_ASSERT(**told == intake_outcome::unknown);
         CPPUNIT_ASSERT(!world_.host(0)->member().log_answers());
     }
-    /// Story: the log stores a job and its answer is lost. The second append finds the way open;
-    /// the caller gets its 2xx and the job runs once.
+    /// The log stores a job but its answer is lost. The retried append succeeds: the caller must be
+    /// told that the job is accepted, and the job must run once.
     void a_lost_answer_of_the_log_costs_one_more_append() {
         begin();
         world_.host(0)->way_to_log().lost_answers = 1;
@@ -388,7 +388,7 @@
         world_.submit(0, "a", cell_world::make_job({step}));
         world_.time().run_for(milliseconds(200));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.watch().starts);
-        // It needs nine cores and sixteen are there: a second one has to wait for the first.
+        // A gang needs nine cores of sixteen, so that the second gang must wait for the first.
         world_.submit(0, "b", cell_world::make_job({step}));
         world_.time().run_for(milliseconds(150));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.watch().starts);
--- a/tests/cell/follower_progress_test.cpp
+++ b/tests/cell/follower_progress_test.cpp
@@ -11,12 +11,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// How long the store keeps records that are no key's newest.
+// How long the store keeps records that have been replaced by newer ones of their key.
 constexpr duration kept = seconds(20);
-// A page of 1 MB on a link of 1 Mbit/s, or one that others use too.
+// How long a page of 1 MB takes on a link of 1 Mbit/s, or on a shared link.
 constexpr duration page_time = seconds(8);
 
-/// Whether a host's copy of a stream gets anywhere.
+/// Guards against a follower that never catches up with its stream.
 class follower_progress_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(follower_progress_test);
     CPPUNIT_TEST(a_load_that_takes_longer_than_the_history_is_kept_ends);
@@ -28,7 +28,7 @@
     sim_log log_{time_, store_, [] { return 1.0; }};
     std::deque<std::pair<instant, std::uint64_t>> ends_;
 
-    /// Appends a record each 100 ms and forgets those that are older than `kept`.
+    /// Appends a record every 100 ms and drops records that are older than `kept`.
     void write_and_forget() {
         store_.append(cell_stream::intake, {{"n", "v", 0}}, {});
         sim_store::stream& stream = store_.of(cell_stream::intake);
@@ -47,15 +47,15 @@
         const instant end = time_.now() + span;
         while (time_.now() < end) {
             follower.tick();
-            // Reads of what is new are small.
+            // Tail reads return few records, so that only pages of a load are slow.
             log_.delay = follower.is_loaded() ? duration(milliseconds(4)) : page_time;
             time_.run_for(milliseconds(10));
         }
     }
 
 public:
-    /// Guards against a load that begins again at its first page whenever it has ended, because the
-    /// store no longer has what was appended since it began.
+    /// Guards against a load that restarts at its first page whenever it has ended, because the
+    /// store no longer keeps the records that were appended since it began.
     void a_load_that_takes_longer_than_the_history_is_kept_ends() {
         constexpr std::size_t keys = 60;
         for (std::size_t index = 0; index < keys; ++index)
@@ -68,8 +68,8 @@
         CPPUNIT_ASSERT(follower.is_loaded());
         CPPUNIT_ASSERT(time_.now() - follower.current_at() < seconds(1));
     }
-    /// Guards against a copy that calls itself current and never gets a record that is larger than
-    /// a read may bring.
+    /// Guards against a follower that reports that it is up to date although it never receives a
+    /// record that exceeds the size of one read.
     void a_read_that_brings_nothing_of_what_is_there_isnt_current() {
         std::string taken;
         keyed_follower follower(
--- a/tests/cell/history_faults.cpp
+++ b/tests/cell/history_faults.cpp
@@ -22,7 +22,7 @@
         {"take_worker", &history_faults::take_worker},
         {"resign_coordinator", &history_faults::resign_coordinator},
         {"part_coordinator", &history_faults::part_coordinator},
-        // The last one: the others keep their places for the seeds that were noted without it.
+        // Must stay last: recorded seeds draw only from the kinds before it.
         {"restart_beside_dark", &history_faults::restart_beside_dark},
     }};
     const std::size_t drawn_from = beside_dark ? kinds.size() : kinds.size() - 1;
@@ -49,7 +49,7 @@
     });
 }
 
-/// One that doesn't coordinate.
+/// Draws a host that isn't the coordinator.
 std::size_t history_faults::draw_other_host() {
     const std::size_t host = draw_host();
     return host == world_.coordinator() ? (host + 1) % world_.hosts() : host;
@@ -136,8 +136,8 @@
     world_.time().after(draw_span(), [=, this] { set_log(host, sim_log::way::open); });
 }
 
-/// A data centre is parted from the rest: its host keeps some of the workers, which no other
-/// host reaches, and later loses the store.
+/// A network partition: the coordinator's host keeps a random part of the workers, which no other
+/// host reaches, and later also loses the store.
 void history_faults::part_coordinator() {
     const std::size_t parted = world_.coordinator().value_or(draw_host());
     for (std::size_t index = 0; index < world_.fleet().workers.size(); ++index) {
@@ -200,7 +200,7 @@
 
 void history_faults::cut_for(const std::string& worker, duration span, bool crash) {
     world_.fleet().workers.at(worker).cut = true;
-    // The list drops a silent worker after three heartbeats.
+    // The platform unlists a worker after three missed heartbeats.
     world_.time().after(seconds(3), [=, this] {
         if (world_.fleet().workers.at(worker).cut)
             world_.unlist_worker(worker);
@@ -232,9 +232,9 @@
     });
 }
 
-/// A worker goes dark for longer than a lease. Then the coordinator's process ends and starts at
-/// once, and a lasting run fails on a worker that is well: the new reign doesn't know what the dark
-/// one runs.
+/// A worker is unreachable for longer than a lease. Then the coordinator's process restarts at
+/// once, and a service task's run fails on a reachable worker: the new term doesn't know what the
+/// unreachable worker runs.
 void history_faults::restart_beside_dark() {
     cut_for(draw_worker(), seconds(11) + world_.draw_time(seconds(3)), world_.draw() % 2 == 0);
     world_.time().after(milliseconds(500) + world_.draw_time(seconds(1)), [this] {
--- a/tests/cell/history_faults.h
+++ b/tests/cell/history_faults.h
@@ -6,17 +6,17 @@
 
 namespace figwinch::sim {
 
-/// The faults of a history. Each kind is a member that brings it about and undoes it later. Owned
-/// by a history.
+/// Injects the faults of a history. Each kind of fault is a member function that causes it and
+/// schedules its end. Owned by a history.
 class history_faults {
 public:
     explicit history_faults(cell_world& world) : world_(world) {}
 
-    /// Draws that many faults at random times of the time of trouble.
+    /// Schedules the given number of random faults at random times within the fault phase.
     void plan(std::size_t faults, duration trouble_time, bool beside_dark);
-    /// The same of the faults of hosts that pass orders on.
+    /// Schedules random faults of hosts that relay orders.
     void plan_links(std::size_t faults, duration trouble_time);
-    /// Undoes at once what the hosts, the store and the orders suffer from.
+    /// Ends at once all faults of hosts, store and orders.
     void calm();
 
 private:
--- a/tests/cell/history_judge.cpp
+++ b/tests/cell/history_judge.cpp
@@ -27,17 +27,17 @@
         const std::optional<job_entry> asked = asks ? world_.ask(host, id) : std::nullopt;
         const job_entry* const job = asked ? &*asked : world_.job(host, id);
         if (job == nullptr || !job->spec)
-            return "LOST " + id + " at host " + std::to_string(host);
+            return "LOST: job " + id + " is unknown at host " + std::to_string(host);
         const bool open = job->phase == job_phase::open && !job->cancel_wanted;
         if (open && !all_last(id) && has_room(id))
-            return "STUCK " + id + " at host " + std::to_string(host) + tell(id);
+            return "STUCK: job " + id + " is open at host " + std::to_string(host) + tell(id);
         if (job->phase == job_phase::succeeded && !all_ended_well(id))
-            return "SHOWN " + id + " as succeeded";
+            return "SHOWN: job " + id + " as succeeded before all its tasks have";
     }
     return "";
 }
 
-/// Whether all steps that a task depends on have ended well.
+/// Whether all steps that a task depends on have succeeded.
 bool history_judge::has_turn(const std::string& task) {
     const auto name = parse_task_name(task);
     const job_spec& spec = world_.watch().jobs.at(name->job.str()).spec;
@@ -49,8 +49,8 @@
     return true;
 }
 
-/// Whether a worker could take one of the job's tasks whose turn has come and that don't run.
-/// Lasting tasks may have taken all room for good: then nothing is stuck.
+/// Whether a worker has room for a task of the job that is ready and doesn't run. If there is none,
+/// the job isn't stuck: service tasks may occupy all room permanently.
 bool history_judge::has_room(const std::string& id) {
     bool room = false;
     all_tasks(id, [&](const std::string& task) {
@@ -61,7 +61,7 @@
     return room;
 }
 
-/// What every task of a job asked for and what became of it.
+/// Describes each task of a job, with its size and state, and the state of all hosts.
 std::string history_judge::tell(const std::string& id) {
     std::string story;
     const job_spec& spec = world_.watch().jobs.at(id).spec;
@@ -70,14 +70,14 @@
             const std::string task = to_string(task_name{job_id(id), 0, step, index});
             story += "\n " + task + " " + to_string(spec.steps[step].size) +
                      (spec.steps[step].lasting ? " lasting" : "") +
-                     (world_.watch().ended_well(task) ? " ended well" : "") +
+                     (world_.watch().ended_well(task) ? " succeeded" : "") +
                      (world_.watch().runs(task) ? " runs" : "");
             story += world_.watch().story_of(task);
         }
     for (std::size_t host = 0; host < world_.hosts(); ++host) {
         const reign& election = world_.host(host)->member().election();
-        story += "\nhost " + std::to_string(host) + (election.leads() ? " leads" : "") +
-                 (election.log_answers() ? "" : " without the log") + ", epoch " +
+        story += "\nhost " + std::to_string(host) + (election.leads() ? " is coordinator" : "") +
+                 (election.log_answers() ? "" : " can't reach the log") + ", epoch " +
                  std::to_string(election.epoch().value());
     }
     return story + "\n" + world_.watch().rooms();
@@ -87,7 +87,7 @@
     return all_tasks(id, [this](const auto& task) { return world_.watch().ended_well(task); });
 }
 
-/// A job that lasts stays open; all its tasks have to be at work.
+/// Whether all tasks of a service job run; such a job stays open until it is cancelled.
 bool history_judge::all_last(const std::string& id) {
     if (!world_.watch().jobs.at(id).spec.steps.front().lasting)
         return false;
--- a/tests/cell/history_judge.h
+++ b/tests/cell/history_judge.h
@@ -7,13 +7,13 @@
 
 namespace figwinch::sim {
 
-/// Judges a history at its end, when the trouble has been over for long. Owned by a history.
+/// Checks a history at its end, long after the last fault. Owned by a history.
 class history_judge {
 public:
     explicit history_judge(cell_world& world) : world_(world) {}
 
-    /// What is wrong first, with its story: a rule that was broken on the way, or an accepted job
-    /// that didn't come to its end. Empty: nothing is.
+    /// Returns the first violation with a description: an invariant that was violated during the
+    /// history, or an accepted job that has not ended. Empty if there is none.
     std::string judge(const std::set<std::string>& accepted);
 
 private:
--- a/tests/cell/keyed_follower_test.cpp
+++ b/tests/cell/keyed_follower_test.cpp
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How a host's copy of a stream keeps up.
+/// How a host's copy of a stream is loaded and kept up to date.
 class keyed_follower_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(keyed_follower_test);
     CPPUNIT_TEST(a_sync_reads_to_the_end_however_many_pages_that_takes);
@@ -33,9 +33,9 @@
     }
 
 public:
-    /// Story: a host's copy is more than one page behind when it becomes coordinator. Its sync
-    /// ended with the first page, so that it began its reign without knowing what its predecessor
-    /// had recorded last, and could start a task that was running.
+    /// A host that becomes coordinator is more than one page behind. If its sync ended with the
+    /// first page, it would start without the last records of its predecessor, and could start a
+    /// task that is already running.
     void a_sync_reads_to_the_end_however_many_pages_that_takes() {
         std::size_t applied = 0;
         keyed_follower follower(time_.clock(), log_, cell_stream::progress, {},
@@ -53,7 +53,7 @@
         CPPUNIT_ASSERT_EQUAL(behind, known);
     }
 
-    /// Guards against a load that never ends where some page of each try fails.
+    /// Guards against a load that never ends because one page of each attempt fails.
     void a_load_goes_on_at_the_page_that_failed() {
         constexpr std::size_t keys = 90;
         for (std::size_t index = 0; index < keys; ++index)
@@ -66,7 +66,7 @@
         CPPUNIT_ASSERT(follower.is_loaded());
         CPPUNIT_ASSERT_EQUAL(keys, known.size());
     }
-    /// Guards against a new coordinator that starts nothing until its first long read has ended.
+    /// Guards against a new coordinator that starts no task until its first long read has returned.
     void a_load_tells_up_to_when_a_copy_is_current() {
         const follow_pace long_reads{seconds(5), milliseconds(10)};
         keyed_follower follower(time_.clock(), log_, cell_stream::operators, long_reads,
@@ -74,7 +74,7 @@
         run(follower, milliseconds(100));
         CPPUNIT_ASSERT(time_.now() - follower.current_at() <= milliseconds(100));
     }
-    /// Guards against decisions on a copy that a failing read has left behind.
+    /// Guards against decisions on a copy that is out of date because reads fail.
     void the_age_of_a_copy_counts_from_the_last_whole_read() {
         keyed_follower follower(time_.clock(), log_, cell_stream::workers, {},
                                 [](const stored_record&) {});
--- a/tests/cell/progress_writer_test.cpp
+++ b/tests/cell/progress_writer_test.cpp
@@ -47,8 +47,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("p1199"), applied_.back());
         CPPUNIT_ASSERT(writer_.is_idle());
     }
-    /// Story: the log stores a batch and its answer is lost. Sent again under the same sequence
-    /// number it is answered as the first time and stored once.
+    /// The log stores a batch and its answer is lost. The batch is sent again under the same
+    /// sequence number; the log must answer as the first time and store it once.
     void a_batch_whose_answer_was_lost_takes_effect_once() {
         log_.lost_answers = 1;
         writer_.write({"p1", "v", 0});
@@ -58,8 +58,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stored());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, applied_.size());
     }
-    /// Guards against a lost answer that holds up all later records until it has timed out: that is
-    /// longer than interactive jobs have.
+    /// Guards against a lost answer that delays all later records until it times out, which is
+    /// longer than the latency target of interactive jobs.
     void a_lost_answer_holds_up_what_follows_for_less_than_callers_notice() {
         constexpr duration latency_target = milliseconds(250);
         log_.lost_answers = 1;
@@ -71,7 +71,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, stored());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, applied_.size());
     }
-    /// Guards against repeats that lengthen the queue of a log which is slow.
+    /// Guards against resends that lengthen the queue of a log that is slow.
     void a_log_that_became_slow_gets_few_repeats() {
         store_.service[cell_stream::progress] = milliseconds(300);
         const std::size_t batches = 10;
@@ -82,8 +82,8 @@
         CPPUNIT_ASSERT_EQUAL(batches, applied_.size());
         CPPUNIT_ASSERT(log_.appends <= batches + 2);
     }
-    /// Story: a coordinator was frozen, its successor has fenced the stream. What the first one
-    /// still had to write is refused, and it learns that it was deposed.
+    /// A coordinator freezes and its successor fences the stream. What the first one still writes
+    /// must be refused, and it must learn that it is superseded.
     void a_fenced_writer_appends_nothing_more() {
         writer_.write({"p1", "v", 0});
         run_for(milliseconds(100));
--- a/tests/cell/reading_load_test.cpp
+++ b/tests/cell/reading_load_test.cpp
@@ -11,8 +11,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Many hosts on a log that brings a bounded number of bytes a second to all of them together. Of
-/// jobs that keep coming it brings what is written to half of the hosts, not to all.
+/// Many hosts share a log with limited read bandwidth, which is enough for half of the hosts to
+/// follow all jobs, not for all of them.
 class reading_load_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(reading_load_test);
     CPPUNIT_TEST(reads_of_many_hosts_dont_collapse);
@@ -22,16 +22,16 @@
     static constexpr std::size_t hosts = 60;
     static constexpr std::size_t strong = 6;
     static constexpr std::size_t workers = 20;
-    /// Of all reads, bytes a second.
+    /// The bandwidth of all reads together, in bytes per second.
     static constexpr double read_rate = 300'000;
-    /// What operators are promised.
+    /// The time within which a published configuration must be in force on every host.
     static constexpr duration config_bound = seconds(4);
 
     cell_world world_{5, hosts, workers, {}, true, strong};
     int jobs_ = 0;
     std::vector<std::shared_ptr<std::optional<intake_outcome>>> told_;
 
-    /// A job of twelve tasks every 50 ms, each through another host.
+    /// Submits a job of twelve tasks every 50 ms, each through another host.
     void keep_coming() {
         if (world_.host(static_cast<std::size_t>(jobs_) % hosts) != nullptr)
             told_.push_back(world_.submit(static_cast<std::size_t>(jobs_) % hosts,
@@ -72,8 +72,8 @@
     }
 
 public:
-    /// Guards against hosts that all read the whole log: together they ask for more than it brings,
-    /// give up what they wait for and ask again, so that configurations and jobs wait as well.
+    /// Guards against hosts that all follow the whole log: together they exceed its bandwidth, time
+    /// out and read again, which delays configurations and jobs as well.
     void reads_of_many_hosts_dont_collapse() {
         begin();
         for (const std::uint64_t version : {2U, 3U, 4U})
@@ -81,7 +81,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, not_stored());
         kept_the_rules();
     }
-    /// Guards against hosts that keep each other from loading after a loss of all of them.
+    /// Guards against hosts that, after a restart of all, delay each other's loads by reading at
+    /// the same time.
     void many_hosts_serve_soon_after_a_restart_of_all() {
         begin();
         for (std::size_t host = 0; host < hosts; ++host)
--- a/tests/cell/records_test.cpp
+++ b/tests/cell/records_test.cpp
@@ -9,7 +9,7 @@
 namespace figwinch {
 namespace {
 
-/// Records, names and the fold of the streams.
+/// Encoding of records and task names, and the state that is built from records.
 class records_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(records_test);
     CPPUNIT_TEST(a_job_survives_its_record);
@@ -99,7 +99,7 @@
             others += named && index >= 400 ? 1 : 0;
         }
         CPPUNIT_ASSERT(others < 150);
-        // Half a mark is left out.
+        // An incomplete mark at the end is ignored.
         CPPUNIT_ASSERT(worker_marks::decode("abc") == worker_marks::decode("ab"));
     }
     void random_bytes_are_refused_or_bounded() {
@@ -154,8 +154,8 @@
         state.apply(cell_stream::progress, {"pa", encode_progress(progress), 4});
         CPPUNIT_ASSERT(state.find(job_id("a"))->phase == job_phase::succeeded);
     }
-    /// Guards against hosts that keep the payloads and steps of all jobs that ended lately, and
-    /// against taking an ended job for an unknown one.
+    /// Guards against hosts that keep payload and steps of all recently ended jobs in memory, and
+    /// against treating an ended job as unknown.
     void an_ended_job_keeps_no_work_in_whatever_order_it_is_read() {
         job_progress ended;
         ended.phase = job_phase::succeeded;
@@ -189,8 +189,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.unreadable());
         CPPUNIT_ASSERT(state.find(job_id("a")) == nullptr || !state.find(job_id("a"))->spec);
     }
-    /// Story: the log forgets its history while a host is cut off from it. Back again, the host
-    /// loads what is there; what was dropped meanwhile must go from its copy too.
+    /// The log drops its history while a host can't reach it. When the host loads again, keys that
+    /// were deleted meanwhile must be deleted from its copy too.
     void a_follower_reports_keys_that_went_while_it_was_away() {
         sim::sim_time time;
         sim::sim_store store;
--- a/tests/cell/recovery_fixture.h
+++ b/tests/cell/recovery_fixture.h
@@ -8,19 +8,21 @@
 
 namespace figwinch::sim {
 
-/// Tasks that last have to run again within this time of the end of a run, when there is room.
+/// A service task must run again within this time of the end of its last run, if there is room.
 constexpr duration longest_down = std::chrono::seconds(6);
-/// Those of a worker that is lost, within this time, in which the worker's silence is noticed.
+/// A service task on a lost worker must run again within this time, which includes detecting that
+/// the worker is unresponsive.
 constexpr duration longest_after_loss = std::chrono::seconds(9);
-/// And urgent work starts within this time.
+/// Tasks of short jobs must start within this time, however long the lease of an unreachable worker
+/// is.
 constexpr duration longest_to_start = std::chrono::milliseconds(4900);
 
-/// A cell of three hosts and four workers that grant leases of 10 s, for tests of how soon tasks
-/// run again.
+/// A cell of three hosts and four workers that grant leases of 10 s, to test how soon service tasks
+/// run again after faults.
 class recovery_fixture : public CppUnit::TestFixture {
 protected:
     recovery_fixture() : recovery_fixture(4, false) {}
-    /// `linked`: hosts reach one another over the bus.
+    /// `linked`: hosts reach one another over the bus and may relay orders.
     recovery_fixture(std::size_t workers, bool linked)
         : world_(7, 3, workers, with_lease(std::chrono::seconds(10)), linked) {}
 
@@ -39,7 +41,7 @@
         world_.watch().failing = 0;
         world_.time().run_for(std::chrono::seconds(2));
     }
-    /// A lasting task of a job that a worker has.
+    /// Returns a task of this job that runs on this worker.
     std::string task_on(const std::string& name, const std::string& job, std::uint32_t tasks) {
         for (std::uint32_t index = 0; index < tasks; ++index)
             if (worker(name).has(task(job, index)))
@@ -52,7 +54,8 @@
         const auto row = newest.find(record_key(kind, id));
         return row == newest.end() ? "" : row->second.value.value_or("");
     }
-    /// Goes on until the log has what is looked for, and no further.
+    /// Advances the simulated time until the condition holds, in steps short enough to stop right
+    /// after it does.
     template <class Check>
     void run_until(const Check& check) {
         constexpr duration step = std::chrono::milliseconds(2);
@@ -61,7 +64,8 @@
             world_.time().run_for(step);
         CPPUNIT_ASSERT(check());
     }
-    /// The worker is gone for good, which its host's silence doesn't tell.
+    /// Loses a worker for good: it becomes unreachable, its runs end, and the platform unlists it 3
+    /// s later.
     void lose(const std::string& name) {
         world_.fleet().workers.at(name).cut = true;
         worker(name).reborn();
--- a/tests/cell/reign_readiness_test.cpp
+++ b/tests/cell/reign_readiness_test.cpp
@@ -9,8 +9,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Whether the host that holds the reign can use it. Renewals are small and pass links on which
-/// nothing else arrives in time.
+/// Guards against a host that stays coordinator without being able to schedule. Renewals are small
+/// and pass links on which nothing else arrives in time.
 class reign_readiness_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(reign_readiness_test);
     CPPUNIT_TEST(a_host_that_is_still_loading_doesnt_keep_others_from_coordinating);
@@ -29,8 +29,8 @@
     }
 
 public:
-    /// Guards against a cell without a coordinator for as long as one host's load takes, while
-    /// hosts that have loaded wait.
+    /// Guards against a cell that has no working coordinator while one host loads, although other
+    /// hosts have loaded.
     void a_host_that_is_still_loading_doesnt_keep_others_from_coordinating() {
         world_.watch().failing = 0;
         for (std::size_t host = 0; host < 3; ++host)
@@ -47,8 +47,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase(1, "a"));
         kept_the_rules();
     }
-    /// Guards against a coordinator that may start nothing and keeps the reign all the same: what
-    /// workers write is more than its link carries.
+    /// Guards against a coordinator that must not start tasks, because its link is too slow to
+    /// follow the workers' notices, and doesn't step down.
     void a_coordinator_whose_view_stays_old_makes_way() {
         world_.watch().failing = 0;
         world_.time().run_for(seconds(2));
--- a/tests/cell/reign_test.cpp
+++ b/tests/cell/reign_test.cpp
@@ -45,7 +45,7 @@
         for (std::size_t index = 0; index < hosts_.size(); ++index)
             if (hosts_[index] && hosts_[index]->election.leads())
                 return index;
-        CPPUNIT_FAIL("nobody leads");
+        CPPUNIT_FAIL("no host is coordinator");
         return 0;
     }
 
@@ -89,8 +89,9 @@
                 std::make_unique<candidate>(time_, store_, "again" + std::to_string(reign));
         }
     }
-    /// Story: the coordinator loses its way to the log, the others don't. It acts on for a while,
-    /// since the log may be away for all; a successor waits for that time, so it must end in time.
+    /// The coordinator loses the log while other hosts don't. It continues for a limited time,
+    /// since the log may be unavailable to all; its successor counts on that limit, so the
+    /// coordinator must stop by then.
     void a_coordinator_cut_off_from_the_log_gives_up_before_its_successor_may_rely_on_it() {
         start(3);
         time_.run_for(seconds(5));
@@ -103,8 +104,8 @@
         CPPUNIT_ASSERT(!hosts_[first]->election.leads());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leaders());
     }
-    /// Story: a renewal is stored and its answer lost. The next one finds the stream longer than
-    /// thought; what it finds is its own renewal, and nobody else has claimed.
+    /// A renewal is stored but its answer is lost. The next renewal finds that the stream's end has
+    /// moved; the host must recognise its own record and stay coordinator.
     void a_renewal_whose_answer_was_lost_carries_the_reign_on() {
         start(1);
         time_.run_for(seconds(2));
@@ -125,8 +126,8 @@
         CPPUNIT_ASSERT_EQUAL(first, leader());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leaders());
     }
-    /// Story: all hosts lose power and come back. The one that led sees its own name on the reign:
-    /// the process that held it is gone, there is nothing to wait for.
+    /// All hosts lose power and restart. The host that was coordinator finds the term held by its
+    /// own previous incarnation, which has ended, so it must claim without waiting for renewals.
     void a_coordinator_that_starts_again_leads_at_once() {
         for (const char* const name : {"h0#1", "h1#1", "h2#1"})
             hosts_.push_back(std::make_unique<candidate>(time_, store_, name));
@@ -142,9 +143,9 @@
         CPPUNIT_ASSERT_EQUAL(first, leader());
         CPPUNIT_ASSERT(hosts_[first]->election.follows_resignation());
     }
-    /// Story: the log is away for everybody for longer than a coordinator may act without it. Once
-    /// it is back, nothing starts until somebody leads; the others first wait for renewals that
-    /// can't come, while the one that led knows that its reign is over.
+    /// The log is unavailable to all hosts for longer than a coordinator may act without it. When
+    /// it is back, the previous coordinator must claim at once, since it knows that its term has
+    /// expired; other hosts would first wait for renewals that never come.
     void a_coordinator_that_sat_out_a_silence_leads_again_at_once() {
         start(3);
         time_.run_for(seconds(2));
@@ -154,13 +155,13 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, leaders());
         for (const auto& host : hosts_)
             host->log.state = sim_log::way::open;
-        // One call that still waits for its timeout, and the pause after it.
+        // One call in flight until its timeout, and the retry delay after it.
         time_.run_for(milliseconds(1050));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leaders());
     }
-    /// Story: the coordinator of a large cell was elected on a host with an eighth of a core. Its
-    /// loop fell behind, answers were read after their timeouts, and it took up no cancellation any
-    /// more.
+    /// On a host with an eighth of a core the coordinator of a large cell falls behind, reads
+    /// answers after their timeouts and no longer handles cancellations. Hosts with more CPU must
+    /// claim first.
     void a_strong_host_is_let_go_first() {
         for (const double share : {0.12, 0.2, 0.5, 0.12})
             hosts_.push_back(std::make_unique<candidate>(
--- a/tests/cell/resignation_test.cpp
+++ b/tests/cell/resignation_test.cpp
@@ -14,7 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// "At once": a resigning host's calls, the successor's read of it and its claim.
+/// Enough for the calls of the resigning host, the successor's read of the resignation and its
+/// claim.
 constexpr duration at_once = milliseconds(100);
 constexpr duration renewal_period = reign_times{}.renew_every;
 constexpr duration retry_period = reign_times{}.retry_after;
@@ -23,7 +24,7 @@
     return std::to_string(std::chrono::duration_cast<milliseconds>(phase).count()) + " ms";
 }
 
-/// Hosts that stand for the reign; the first to start leads.
+/// A cell of hosts that may become coordinator; the first to start is elected.
 class cell_of_candidates {
 public:
     explicit cell_of_candidates(duration call_time = milliseconds(4)) : call_time_(call_time) {}
@@ -34,7 +35,7 @@
         hosts_.back()->log.delay = call_time_;
         return *hosts_.back();
     }
-    /// Records of a kind from an offset on.
+    /// The number of records of a kind from an offset on.
     long count(reign_record::kind what, std::uint64_t from = 0) {
         return std::ranges::count_if(store.of(cell_stream::reigns).records,
                                      [&](const stored_record& record) {
@@ -52,10 +53,10 @@
     std::vector<std::unique_ptr<candidate>> hosts_;
 };
 
-/// Story: in a rolling restart the coordinator stops and says so in the log. What it wrote at the
-/// end that it knew was lost to a renewal of its own, to a store that refused or to a store that
-/// didn't answer. Nobody else knew, callers waited for three missed renewals, and the leases of
-/// workers that couldn't be reached were counted 5 s longer.
+/// In a rolling restart the coordinator resigns through the log. If the resignation is lost,
+/// because a renewal in flight has moved the stream's end or because the store refuses or doesn't
+/// answer, callers wait until three renewals are missed, and the leases of unreachable workers
+/// count 5 s longer.
 class resignation_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(resignation_test);
     CPPUNIT_TEST(a_resignation_beside_a_renewal_is_followed_at_once);
@@ -68,7 +69,8 @@
     CPPUNIT_TEST(a_host_that_has_resigned_orders_nothing_while_it_tries);
     CPPUNIT_TEST_SUITE_END();
 
-    /// The coordinator resigns while its way to the store is as told, for less than a retry takes.
+    /// The coordinator resigns while its connection to the store is in this state, for less than a
+    /// retry delay.
     static void resign_while(sim_log::way state) {
         cell_of_candidates cell;
         candidate& first = cell.add();
@@ -105,7 +107,7 @@
             CPPUNIT_ASSERT_MESSAGE(text_of(phase), second.election.leads());
             CPPUNIT_ASSERT_MESSAGE(text_of(phase), second.election.follows_resignation());
         }
-        // Phases without a renewal on its way prove nothing.
+        // Guards against a test in which no renewal was in flight at any of the resignations.
         CPPUNIT_ASSERT(raced > 0);
     }
     void a_resignation_that_was_refused_is_followed_at_once() {
@@ -114,8 +116,8 @@
     void a_resignation_that_got_no_answer_is_followed_at_once() {
         resign_while(sim_log::way::silent);
     }
-    /// Story: the next host to be restarted is the one that has just claimed. Its claim is stored
-    /// after it has resigned, so that the log shows a reign that nobody holds.
+    /// The host that has just claimed is the next to be restarted. Its claim is stored after it has
+    /// resigned, so that the log shows a term without a coordinator.
     void a_host_that_resigns_while_it_claims_is_followed_at_once() {
         constexpr duration modesty = milliseconds(300);
         long raced = 0;
@@ -141,8 +143,8 @@
         }
         CPPUNIT_ASSERT(raced > 0);
     }
-    /// Story: the claim's answer was lost besides. The host learns from the log that the reign is
-    /// its own, and gives it back before the others have missed three renewals.
+    /// As before, but the answer to the claim is lost too. The host learns from the log that it
+    /// holds the term, and must resign before the others have missed three renewals.
     void a_host_that_resigns_with_its_claim_in_doubt_is_followed_before_it_is_missed() {
         cell_of_candidates cell;
         candidate& first = cell.add();
@@ -165,8 +167,8 @@
         CPPUNIT_ASSERT(third.election.leads());
         CPPUNIT_ASSERT(third.election.follows_resignation());
     }
-    /// Story: the resignation is stored and its answer lost. Another one behind a successor's claim
-    /// would end that reign.
+    /// The resignation is stored but its answer is lost. A second one after the successor's claim
+    /// would end the successor's term.
     void a_resignation_whose_answer_was_lost_is_written_once() {
         cell_of_candidates cell;
         candidate& first = cell.add();
@@ -182,8 +184,9 @@
         CPPUNIT_ASSERT_EQUAL(1L, cell.count(reign_record::kind::resignation));
         CPPUNIT_ASSERT(second.election.leads());
     }
-    /// Story: the coordinator resigns while it is parted from the store. Its successor claims after
-    /// the missed renewals; what the first one writes when it is back must not end that reign.
+    /// The coordinator resigns while it can't reach the store. Its successor claims after the
+    /// missed renewals; a resignation that the first host writes after its return must not end the
+    /// successor's term.
     void a_late_resignation_ends_nobody_elses_reign() {
         for (const auto state : {sim_log::way::refused, sim_log::way::silent}) {
             cell_of_candidates cell;
@@ -204,8 +207,8 @@
             CPPUNIT_ASSERT_EQUAL(0L, cell.count(reign_record::kind::resignation));
         }
     }
-    /// Story: the store refuses the resignation for half a second, while a job comes in at another
-    /// host. The one that resigned still follows the log; it must leave the job to its successor.
+    /// The store refuses the resignation for half a second while another host accepts a job. The
+    /// resigned host still follows the log, and must leave the job to its successor.
     void a_host_that_has_resigned_orders_nothing_while_it_tries() {
         cell_world world(1, 2, 4);
         world.watch().failing = 0;
