--- a/include/figwinch/cell/cell_config.h
+++ b/include/figwinch/cell/cell_config.h
@@ -21,9 +21,9 @@
     std::string path_prefix;
     service_id service;
     std::uint32_t priority = 0;
-    std::uint32_t attempts = 1;
+    std::uint32_t max_attempts = 1;
     double stretch = 1;
-    duration target{};
+    duration latency_target{};
     /// Set if the workers that may run this queue's steps are known to an external advisor only.
     std::optional<advice_terms> advice;
 };
@@ -32,9 +32,9 @@
 struct service_config {
     service_id name;
     /// The workers of this service reject tasks that exceed their capacity by themselves.
-    bool guards_capacity = false;
+    bool enforces_capacity = false;
     /// The workers of this service are switched off.
-    bool spare = false;
+    bool switched_off = false;
 };
 
 /// The configuration in force. Versions only increase; a newer version replaces the whole
--- a/include/figwinch/cell/cell_state.h
+++ b/include/figwinch/cell/cell_state.h
@@ -30,17 +30,17 @@
     /// coordinators have measured it. Encoded.
     const std::string& slowdowns() const { return slowdowns_; }
     /// The number of accepted jobs of a queue of which no task has started.
-    std::size_t waiting(const queue_name& queue) const;
-    std::uint64_t unreadable() const { return unreadable_; }
+    std::size_t waiting_jobs(const queue_name& queue) const;
+    std::uint64_t unreadable_records() const { return unreadable_records_; }
 
     /// Sets the callback that is called after a record of the intake stream was applied to a job: a
     /// new job or a cancellation.
-    void on_intake(std::function<void(const job_entry&)> call) {
-        intake_changed_ = std::move(call);
+    void set_intake_callback(std::function<void(const job_entry&)> call) {
+        intake_callback_ = std::move(call);
     }
 
 private:
-    bool is_newer(cell_stream stream, const stored_record& record);
+    bool advance_newest_offset(cell_stream stream, const stored_record& record);
     void apply_job(const stored_record& record, const job_id& id);
     void apply_cancellation(const stored_record& record, const job_id& id);
     void apply_progress(const stored_record& record, const job_id& id);
@@ -52,10 +52,10 @@
     absl::flat_hash_map<worker_id, worker_entry> workers_;
     /// The offset of the newest applied record of each key. Older records are ignored, so that a
     /// page of older records can't overwrite newer ones.
-    absl::flat_hash_map<std::string, std::uint64_t> newest_;
+    absl::flat_hash_map<std::string, std::uint64_t> newest_offsets_;
     std::string slowdowns_;
-    std::uint64_t unreadable_ = 0;
-    std::function<void(const job_entry&)> intake_changed_;
+    std::uint64_t unreadable_records_ = 0;
+    std::function<void(const job_entry&)> intake_callback_;
 };
 
 } // namespace figwinch
--- a/include/figwinch/cell/durable_log.h
+++ b/include/figwinch/cell/durable_log.h
@@ -54,8 +54,8 @@
     moved,
     /// The log has seen a higher epoch: this writer is no longer the coordinator.
     fenced,
-    /// The append's sequence number isn't the next one. The result's `end` holds the expected
-    /// number.
+    /// The append's sequence number isn't the next one. The result's `end_offset` holds the
+    /// expected number.
     out_of_sequence,
     /// The requested records are no longer kept. The result holds the offset of the oldest record
     /// that is.
@@ -68,7 +68,7 @@
 /// The condition of an append. At most one of the end offset and the epoch is set.
 struct append_guard {
     /// Append only if the stream ends at this offset (compare-and-append).
-    std::optional<std::uint64_t> at;
+    std::optional<std::uint64_t> expected_end;
     /// Append only if no higher epoch has been seen, and only once for each sequence number.
     std::optional<lease_epoch> epoch;
     std::uint64_t sequence = 0;
@@ -77,14 +77,14 @@
 struct append_result {
     log_fault fault = log_fault::none;
     std::uint64_t offset = 0;
-    std::uint64_t end = 0;
+    std::uint64_t end_offset = 0;
 };
 
 struct read_result {
     log_fault fault = log_fault::none;
     std::vector<stored_record> records;
-    std::uint64_t end = 0;
-    std::uint64_t first = 0;
+    std::uint64_t end_offset = 0;
+    std::uint64_t start_offset = 0;
 };
 
 /// One page of the newest record of each key, in key order. Pages are not a consistent snapshot:
@@ -94,7 +94,7 @@
     std::vector<stored_record> records;
     /// The key after which the next page begins. Empty on the last page.
     std::string next_key;
-    std::uint64_t end = 0;
+    std::uint64_t end_offset = 0;
 };
 
 /// Interface to the replicated log that survives the loss of all hosts. Calls never block; each
@@ -109,15 +109,15 @@
     /// latest after `wait`.
     virtual void read(cell_stream stream, std::uint64_t from, duration wait,
                       std::function<void(read_result)> done) = 0;
-    virtual void newest(cell_stream stream, const std::string& after_key,
-                        std::function<void(newest_result)> done) = 0;
+    virtual void read_newest(cell_stream stream, const std::string& after_key,
+                             std::function<void(newest_result)> done) = 0;
     /// Sets the timeout of reads of a stream: how long a read may go without receiving a byte,
     /// beyond the wait that it asks for. The log may still answer a read that has timed out, and
     /// that answer uses the log's bandwidth all the same.
-    virtual void wait_for_reads(cell_stream, duration) {}
+    virtual void set_read_timeout(cell_stream, duration) {}
     /// The longest time that an append can wait in the log's queue; the log refuses appends that
     /// would wait longer. An append that was sent longer ago than this can't take effect any more.
-    virtual duration longest_queue() const { return duration::zero(); }
+    virtual duration max_append_wait() const { return duration::zero(); }
 };
 
 } // namespace figwinch
--- a/include/figwinch/cell/reign.h
+++ b/include/figwinch/cell/leader_election.h
@@ -9,10 +9,10 @@
 
 namespace figwinch {
 
-class resignation;
+class resignation_writer;
 
 /// The current coordinator and its term, as far as a host knows.
-struct reign_view {
+struct leader_info {
     incarnation_id holder;
     std::string bus_address;
     lease_epoch epoch;
@@ -20,19 +20,19 @@
 
 /// Timing of the leader election. A renewal is one append (a few ms). A successor takes over after
 /// three missed renewals, which is within the 2.5 s that callers notice.
-struct reign_times {
-    duration renew_every = std::chrono::milliseconds(400);
-    duration takeover_after = std::chrono::milliseconds(1300);
-    duration retry_after = std::chrono::milliseconds(150);
+struct election_timing {
+    duration renewal_interval = std::chrono::milliseconds(400);
+    duration takeover_timeout = std::chrono::milliseconds(1300);
+    duration retry_delay = std::chrono::milliseconds(150);
     /// How long this host waits before it claims, so that hosts with more CPU claim first. A
     /// coordinator makes some hundred calls a second for every hundred workers; a host with a small
     /// share of a core falls behind and reads every answer after its timeout.
-    duration modesty{};
+    duration claim_delay{};
 };
 
 /// The claim delay of a host with this share of a core: none from a quarter of a core on, one
 /// second for a share of 0.
-duration modesty_of(double cpu_share);
+duration claim_delay_for(double cpu_share);
 
 /// Elects one coordinator among the hosts through a stream of the log. Every record is appended
 /// only if the stream still ends at the offset up to which its writer has read
@@ -40,12 +40,12 @@
 /// its offset gives the epoch, renewals extend the term. A host claims when the log answers and
 /// shows no renewal for the takeover timeout, or at once after a resignation. Does no I/O of its
 /// own: driven by `tick` and the log's answers. Owned by the host's daemon.
-class reign {
+class leader_election {
 public:
     /// `self` identifies this incarnation of the process.
-    reign(const clock& time, durable_log& log, incarnation_id self, std::string bus_address,
-          const reign_times& times);
-    ~reign();
+    leader_election(const clock& time, durable_log& log, incarnation_id self,
+                    std::string bus_address, const election_timing& times);
+    ~leader_election();
 
     void tick();
     /// Ends this host's term and never claims again, for a planned shutdown. Keep calling `tick`
@@ -55,78 +55,78 @@
     void abandon_resignation();
     /// Steps down after other evidence of a higher epoch, or because this host can't do the work.
     /// May claim again later.
-    void yield();
+    void step_down();
     /// Sets whether this host may claim the coordinator role; true by default.
-    void stand(bool standing) { standing_ = standing; }
+    void set_candidate(bool standing) { is_candidate_ = standing; }
 
-    bool leads() const { return leads_; }
+    bool is_leader() const { return is_leader_; }
     /// Whether the log shows that there is no coordinator.
-    bool is_vacant() const { return claim_now_; }
+    bool is_vacant() const { return leadership_vacant_; }
     /// Whether this host has resigned for good.
     bool has_resigned() const { return resigned_; }
     lease_epoch epoch() const { return epoch_; }
     /// Whether the predecessor is known to have ended, by its resignation or by a restart of its
     /// host, when this host's term began.
-    bool follows_resignation() const { return follows_resignation_; }
+    bool predecessor_has_ended() const { return predecessor_has_ended_; }
     /// The coordinator of the previous term; nothing if it resigned or if there was none.
-    const std::optional<reign_view>& predecessor() const { return predecessor_; }
+    const std::optional<leader_info>& predecessor() const { return predecessor_; }
     /// The time until which predecessors may have sent orders: their resignation, or
     /// `silence_limit` after their last record in the log.
     instant predecessors_acted_until() const { return acted_until_; }
     /// The time until which predecessors may have renewed worker leases for the full duration:
     /// their resignation, or `prolonging_limit` after their last record in the log.
-    instant predecessors_prolonged_until() const { return prolonged_until_; }
+    instant predecessors_renewed_leases_until() const { return leases_renewed_until_; }
     /// When the claim or renewal that the log confirmed last was sent.
     instant confirmed_at() const { return confirmed_at_; }
     /// Whether this host is coordinator and the log has confirmed it within `fresh_reign`.
-    bool is_fresh() const;
-    const std::optional<reign_view>& current() const { return current_; }
+    bool is_confirmed() const;
+    const std::optional<leader_info>& current_leader() const { return current_leader_; }
     /// Whether the log's last reply to this host was an answer, not an error or a timeout.
     bool log_answers() const { return log_answers_; }
 
 private:
-    void find_end();
+    void read_first_page();
     void follow();
     void set_vacant(bool vacant);
-    void take_read(const read_result& read, bool waited);
-    instant latest_begin(const std::vector<stored_record>& records) const;
-    void note_end_of(const reign_record& record, instant written_by);
-    void count_current();
-    bool take_records(const std::vector<stored_record>& records);
+    void apply_read(const read_result& read, bool waited);
+    instant latest_start_time(const std::vector<stored_record>& records) const;
+    void update_predecessor_limits(const election_record& record, instant written_by);
+    void retire_current_leader();
+    bool apply_records(const std::vector<stored_record>& records);
     void claim();
     void renew();
-    void lead(std::uint64_t claimed_at, instant confirmed);
-    void give_back(std::uint64_t end);
-    void take_moved();
-    void append(reign_record::kind what, std::function<void(const append_result&)> done);
+    void become_leader(std::uint64_t claimed_at, instant confirmed);
+    void start_resignation(std::uint64_t end);
+    void handle_moved_end();
+    void append(election_record::kind what, std::function<void(const append_result&)> done);
 
     const clock& time_;
     durable_log& log_;
     incarnation_id self_;
     std::string bus_address_;
-    reign_times times_;
-    bool busy_ = false;
-    bool end_known_ = false;
+    election_timing timing_;
+    bool call_in_flight_ = false;
+    bool end_offset_known_ = false;
     bool resigned_ = false;
-    bool standing_ = true;
-    bool leads_ = false;
+    bool is_candidate_ = true;
+    bool is_leader_ = false;
     bool log_answers_ = false;
-    bool claim_now_ = false;
+    bool leadership_vacant_ = false;
     /// Since when the log has shown no coordinator.
     std::optional<instant> vacant_since_;
-    bool vacant_ = false;
-    bool follows_resignation_ = false;
+    bool leader_has_ended_ = false;
+    bool predecessor_has_ended_ = false;
     /// The latest time at which the newest record can have been written.
-    instant heard_at_{};
+    instant last_record_at_{};
     instant acted_until_{};
-    instant prolonged_until_{};
+    instant leases_renewed_until_{};
     lease_epoch epoch_;
-    std::uint64_t end_ = 0;
-    instant next_try_{};
+    std::uint64_t end_offset_ = 0;
+    instant next_call_at_{};
     instant confirmed_at_{};
-    std::optional<reign_view> current_;
-    std::optional<reign_view> predecessor_;
-    std::unique_ptr<resignation> resignation_;
+    std::optional<leader_info> current_leader_;
+    std::optional<leader_info> predecessor_;
+    std::unique_ptr<resignation_writer> resignation_;
     /// Expires with this object. Callbacks hold a weak reference and ignore answers that come
     /// later.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/include/figwinch/cell/progress_writer.h
+++ b/include/figwinch/cell/progress_writer.h
@@ -12,15 +12,15 @@
 /// batches, one batch at a time. Each batch carries the epoch and a sequence number: a batch that
 /// is sent twice takes effect once, and batches of a superseded coordinator are refused. All later
 /// records wait for the batch in flight, so a batch that gets no answer for several times the usual
-/// latency is sent again without waiting for the first append to time out. Owned by the
+/// latency is sent again without pending for the first append to time out. Owned by the
 /// coordinator's host for one leadership term.
 class progress_writer {
 public:
-    /// `applied` is called with each record, in order, once the log has stored it. `deposed` is
-    /// called when the log has seen a higher epoch.
+    /// `applied` is called with each record, in order, once the log has stored it. `on_superseded`
+    /// is called when the log has seen a higher epoch.
     progress_writer(const clock& time, durable_log& log, lease_epoch epoch,
                     std::function<void(const stored_record&)> applied,
-                    std::function<void()> deposed);
+                    std::function<void()> on_superseded);
 
     /// Fences earlier epochs. Calls `done` with the end offset of the stream once no earlier epoch
     /// can append any more.
@@ -32,44 +32,44 @@
     /// Sends or resends a batch when it is due.
     void tick();
 
-    bool is_idle() const { return waiting_.empty() && !is_on_its_way(); }
+    bool is_idle() const { return queued_.empty() && !has_append_in_flight(); }
     /// The number of records that the log hasn't confirmed yet.
-    std::size_t unconfirmed() const { return waiting_.size() + batch_.size(); }
+    std::size_t unconfirmed() const { return queued_.size() + batch_.size(); }
 
 private:
-    struct entry {
+    struct queued_record {
         stored_record record;
         std::vector<std::function<void()>> committed;
     };
 
-    bool is_on_its_way() const { return appends_on_way_ > 0; }
-    bool may_repeat() const;
-    void take_batch();
+    bool has_append_in_flight() const { return appends_in_flight_ > 0; }
+    bool may_resend() const;
+    void fill_batch();
     void send();
     void append_batch();
-    void take(const append_result& result);
+    void on_append_result(const append_result& result);
     void commit(std::uint64_t offset);
-    void depose();
+    void handle_superseded();
 
     const clock& time_;
     durable_log& log_;
     lease_epoch epoch_;
     std::function<void(const stored_record&)> applied_;
-    std::function<void()> deposed_;
-    std::deque<entry> waiting_;
-    std::vector<entry> batch_;
-    std::function<void(std::uint64_t)> fenced_;
+    std::function<void()> on_superseded_;
+    std::deque<queued_record> queued_;
+    std::vector<queued_record> batch_;
+    std::function<void(std::uint64_t)> fence_done_;
     /// Appends of the current batch that have not been answered yet.
-    std::size_t appends_on_way_ = 0;
+    std::size_t appends_in_flight_ = 0;
     bool stopped_ = false;
     std::uint64_t sequence_ = 0;
     /// The number of batches that have been stored. Answers to further appends of a stored batch
     /// are ignored.
-    std::uint64_t settled_ = 0;
-    instant next_send_{};
-    instant next_repeat_{};
+    std::uint64_t stored_batches_ = 0;
+    instant next_send_at_{};
+    instant next_resend_at_{};
     /// How long the last answered append took.
-    duration answer_time_{};
+    duration last_append_duration_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/include/figwinch/cell/record_codec.h
+++ b/include/figwinch/cell/record_codec.h
@@ -34,14 +34,14 @@
 
 /// One record of the leader election: the host that claims, renews or resigns the coordinator role,
 /// and its address.
-struct reign_record {
+struct election_record {
     enum class kind { claim, renewal, resignation };
-    kind what = kind::claim;
+    kind type = kind::claim;
     incarnation_id holder;
     std::string bus_address;
 };
 
-std::string encode_reign(const reign_record& reign);
-std::optional<reign_record> decode_reign(std::string_view bytes);
+std::string encode_election_record(const election_record& election);
+std::optional<election_record> decode_election_record(std::string_view bytes);
 
 } // namespace figwinch
--- a/include/figwinch/cell/stream_reads.h
+++ b/include/figwinch/cell/stream_reads.h
@@ -15,7 +15,7 @@
     std::uint64_t given_up = 0;
     /// The total duration of all reads, including the time that the log held them until there was a
     /// record.
-    duration taken{};
+    duration total_time{};
 };
 
 } // namespace figwinch
--- a/include/figwinch/simulation/sim_candidate.h
+++ b/include/figwinch/simulation/sim_candidate.h
@@ -18,9 +18,9 @@
     ~candidate() { log.kill(); }
 
 private:
-    static reign_times times_of(duration modesty) {
-        reign_times times;
-        times.modesty = modesty;
+    static election_timing times_of(duration modesty) {
+        election_timing times;
+        times.claim_delay = modesty;
         return times;
     }
     void schedule() {
@@ -36,7 +36,7 @@
 
 public:
     sim_log log;
-    reign election;
+    leader_election election;
 };
 
 } // namespace figwinch::sim
--- a/include/figwinch/simulation/sim_store.h
+++ b/include/figwinch/simulation/sim_store.h
@@ -66,8 +66,8 @@
                          const append_guard& guard) {
         stream& to = streams_[name];
         append_result answer;
-        answer.end = to.end();
-        if (guard.at && *guard.at != to.end()) {
+        answer.end_offset = to.end();
+        if (guard.expected_end && *guard.expected_end != to.end()) {
             answer.fault = log_fault::moved;
             return answer;
         }
@@ -82,7 +82,7 @@
                 to.newest.erase(record.key);
             to.records.push_back(std::move(record));
         }
-        answer.end = to.end();
+        answer.end_offset = to.end();
         to.last_answer = answer;
         return answer;
     }
@@ -191,8 +191,8 @@
                 poll(alive, stream, from, end, done);
         });
     }
-    void newest(cell_stream stream, const std::string& after_key,
-                std::function<void(newest_result)> done) override {
+    void read_newest(cell_stream stream, const std::string& after_key,
+                     std::function<void(newest_result)> done) override {
         newest_result fault;
         if (unreadable == stream || (lost_page_of > 0 && ++pages_asked_ % lost_page_of == 0))
             return answer_silent(fault, done);
@@ -204,7 +204,7 @@
                 return;
             newest_result page;
             sim_store::stream& from = store_.of(stream);
-            page.end = from.end();
+            page.end_offset = from.end();
             constexpr std::size_t page_size = 20;
             for (auto at = from.newest.upper_bound(after_key); at != from.newest.end(); ++at) {
                 if (page.records.size() == page_size) {
@@ -216,10 +216,10 @@
             answer_read(stream, page, done);
         });
     }
-    void wait_for_reads(cell_stream stream, duration longest_silence) override {
+    void set_read_timeout(cell_stream stream, duration longest_silence) override {
         read_silence_[stream] = longest_silence;
     }
-    duration longest_queue() const override { return sim_store::most_queued; }
+    duration max_append_wait() const override { return sim_store::most_queued; }
     /// The host is gone: nothing is answered any more.
     void kill() { alive_.reset(); }
 
@@ -262,8 +262,8 @@
             return;
         const sim_store::stream& read_from = store_.of(stream);
         read_result answer;
-        answer.end = read_from.end();
-        answer.first = read_from.first;
+        answer.end_offset = read_from.end();
+        answer.start_offset = read_from.first;
         if (from < read_from.first) {
             answer.fault = log_fault::expired;
             return done(answer);
--- a/src/cell/cell_state.cpp
+++ b/src/cell/cell_state.cpp
@@ -9,32 +9,32 @@
 
 /// Returns a copy of an ended job without payload and steps, which take most of a job's memory.
 /// Callers still ask for the state, queue and age of ended jobs.
-std::shared_ptr<const job_spec> without_work(const job_spec& whole) {
-    auto rest = std::make_shared<job_spec>();
-    rest->queue = whole.queue;
-    rest->service = whole.service;
-    rest->priority = whole.priority;
-    rest->attempts = whole.attempts;
-    rest->stretch = whole.stretch;
-    rest->target = whole.target;
-    rest->accepted_at = whole.accepted_at;
-    return rest;
+std::shared_ptr<const job_spec> without_payload_and_steps(const job_spec& original) {
+    auto stripped = std::make_shared<job_spec>();
+    stripped->queue = original.queue;
+    stripped->service = original.service;
+    stripped->priority = original.priority;
+    stripped->attempts = original.attempts;
+    stripped->stretch = original.stretch;
+    stripped->target = original.target;
+    stripped->accepted_at = original.accepted_at;
+    return stripped;
 }
 
 /// Drops payload and steps if the job has ended. Called after the job record as well as after the
 /// progress record, since the two may be read in either order.
-void drop_work_if_ended(job_entry& job) {
+void drop_payload_if_ended(job_entry& job) {
     if (job.phase != job_phase::open && job.spec && !job.spec->steps.empty())
-        job.spec = without_work(*job.spec);
+        job.spec = without_payload_and_steps(*job.spec);
 }
 
 } // namespace
 
-bool cell_state::is_newer(cell_stream stream, const stored_record& record) {
+bool cell_state::advance_newest_offset(cell_stream stream, const stored_record& record) {
     // Offsets of different streams can't be compared, so that the stream is part of the key.
     std::string key = record.key;
     key += stream == cell_stream::intake ? '<' : '>';
-    const auto [known, inserted] = newest_.try_emplace(std::move(key), record.offset);
+    const auto [known, inserted] = newest_offsets_.try_emplace(std::move(key), record.offset);
     if (!inserted && record.offset <= known->second)
         return false;
     known->second = record.offset;
@@ -43,10 +43,10 @@
 
 void cell_state::apply(cell_stream stream, const stored_record& record) {
     if (record.key.size() < 2) {
-        ++unreadable_;
+        ++unreadable_records_;
         return;
     }
-    if (!is_newer(stream, record))
+    if (!advance_newest_offset(stream, record))
         return;
     const std::string id = record.key.substr(1);
     const auto kind = static_cast<record_kind>(record.key.front());
@@ -64,7 +64,7 @@
         slowdowns_ = record.value.value_or("");
         return;
     }
-    ++unreadable_;
+    ++unreadable_records_;
 }
 
 void cell_state::apply_job(const stored_record& record, const job_id& id) {
@@ -80,14 +80,14 @@
         return;
     std::optional<job_spec> spec = decode_job(*record.value);
     if (!spec) {
-        ++unreadable_;
+        ++unreadable_records_;
         return;
     }
     job.spec = std::make_shared<const job_spec>(std::move(*spec));
     job.intake_offset = record.offset;
-    drop_work_if_ended(job);
-    if (intake_changed_)
-        intake_changed_(job);
+    drop_payload_if_ended(job);
+    if (intake_callback_)
+        intake_callback_(job);
 }
 
 void cell_state::apply_cancellation(const stored_record& record, const job_id& id) {
@@ -99,8 +99,8 @@
     job_entry& job = jobs_[id];
     job.id = id;
     job.cancel_wanted = true;
-    if (intake_changed_)
-        intake_changed_(job);
+    if (intake_callback_)
+        intake_callback_(job);
 }
 
 void cell_state::apply_progress(const stored_record& record, const job_id& id) {
@@ -111,7 +111,7 @@
     }
     const std::optional<job_progress> progress = decode_progress(*record.value);
     if (!progress) {
-        ++unreadable_;
+        ++unreadable_records_;
         return;
     }
     job_entry& job = jobs_[id];
@@ -119,7 +119,7 @@
     job.begun = progress->begun;
     job.phase = progress->phase;
     job.progress_record = *record.value;
-    drop_work_if_ended(job);
+    drop_payload_if_ended(job);
 }
 
 void cell_state::apply_ordered_to(const stored_record& record, const job_id& id) {
@@ -142,7 +142,7 @@
     if (worker)
         workers_[id] = *worker;
     else
-        ++unreadable_;
+        ++unreadable_records_;
 }
 
 void cell_state::erase_if_empty(const job_id& id) {
@@ -158,7 +158,7 @@
     // Swapping with an empty map also frees the memory, which `clear` would keep.
     absl::flat_hash_map<job_id, job_entry>().swap(jobs_);
     absl::flat_hash_map<worker_id, worker_entry>().swap(workers_);
-    absl::flat_hash_map<std::string, std::uint64_t>().swap(newest_);
+    absl::flat_hash_map<std::string, std::uint64_t>().swap(newest_offsets_);
     slowdowns_.clear();
 }
 
@@ -167,7 +167,7 @@
     return known == jobs_.end() ? nullptr : &known->second;
 }
 
-std::size_t cell_state::waiting(const queue_name& queue) const {
+std::size_t cell_state::waiting_jobs(const queue_name& queue) const {
     const auto count = std::ranges::count_if(jobs_, [&queue](const auto& entry) {
         const job_entry& job = entry.second;
         return job.spec && job.spec->queue == queue && job.phase == job_phase::open && !job.begun &&
--- a/src/cell/coordinator_jobs.cpp
+++ b/src/cell/coordinator_jobs.cpp
@@ -167,7 +167,7 @@
     const queue_config* const queue = config_.find(job.spec->queue);
     job.service = queue != nullptr ? queue->service : job.spec->service;
     job.priority = queue != nullptr ? queue->priority : job.spec->priority;
-    job.attempts = queue != nullptr ? queue->attempts : job.spec->attempts;
+    job.attempts = queue != nullptr ? queue->max_attempts : job.spec->attempts;
     // Of a queue that is gone the terms last known stay.
     if (queue != nullptr)
         job.advice = queue->advice;
--- a/src/cell/record_codec.cpp
+++ b/src/cell/record_codec.cpp
@@ -198,23 +198,23 @@
     return worker_entry{record->born_ms(), record->silent()};
 }
 
-std::string encode_reign(const reign_record& reign) {
+std::string encode_election_record(const election_record& election) {
     pb::ReignRecord record;
-    record.set_kind(static_cast<pb::ReignRecord::Kind>(reign.what));
-    record.set_holder(reign.holder.str());
-    record.set_bus_address(reign.bus_address);
+    record.set_kind(static_cast<pb::ReignRecord::Kind>(election.type));
+    record.set_holder(election.holder.str());
+    record.set_bus_address(election.bus_address);
     return record.SerializeAsString();
 }
 
-std::optional<reign_record> decode_reign(std::string_view bytes) {
+std::optional<election_record> decode_election_record(std::string_view bytes) {
     const auto record = parse<pb::ReignRecord>(bytes);
     if (!record || record->holder().empty())
         return std::nullopt;
-    reign_record reign;
-    reign.what = static_cast<reign_record::kind>(record->kind());
-    reign.holder = incarnation_id(record->holder());
-    reign.bus_address = record->bus_address();
-    return reign;
+    election_record election;
+    election.type = static_cast<election_record::kind>(record->kind());
+    election.holder = incarnation_id(record->holder());
+    election.bus_address = record->bus_address();
+    return election;
 }
 
 } // namespace figwinch
--- a/src/cell/resignation.h
+++ b/src/cell/resignation_writer.h
@@ -13,11 +13,11 @@
 /// Writes the resignation of a coordinator to the log: appends it at the end of the election
 /// stream, and retries until the log has stored it, another host has claimed, or the process ends.
 /// Driven by `tick` and the log's answers. Owned by the leader election.
-class resignation {
+class resignation_writer {
 public:
     /// The log shows `holder` as coordinator up to offset `end`. Sends the first attempt at once.
-    resignation(const clock& time, durable_log& log, const incarnation_id& holder,
-                const std::string& bus_address, std::uint64_t end);
+    resignation_writer(const clock& time, durable_log& log, const incarnation_id& holder,
+                       const std::string& bus_address, std::uint64_t end);
 
     void tick();
     /// Stops retrying, because the process ends.
@@ -25,20 +25,20 @@
 
 private:
     void send();
-    void look();
-    void take(const read_result& read);
+    void read_newer_records();
+    void handle_read(const read_result& read);
     void settle_stored();
     void settle_unconfirmed(std::string_view why);
 
     const clock& time_;
     durable_log& log_;
     incarnation_id holder_;
-    std::string bytes_;
+    std::string record_;
     /// The offset up to which the stream has been read; up to here `holder` is coordinator.
-    std::uint64_t end_;
-    instant begun_;
-    instant next_try_{};
-    std::int64_t tries_ = 0;
+    std::uint64_t end_offset_;
+    instant started_at_;
+    instant next_attempt_at_{};
+    std::int64_t attempts_ = 0;
     bool settled_ = false;
     /// Expires with this object. Callbacks hold a weak reference and ignore answers that come
     /// later.
--- a/src/cell_host/cell_host.cpp
+++ b/src/cell_host/cell_host.cpp
@@ -40,7 +40,7 @@
               member_.writer(), [this] { return member_.log_answers(); },
               [this](duration waited) { metrics_.observe_acceptance(waited); }}),
       handovers_(time_, member_.writer(), [this] {
-          return !stopping_ && member_.election().leads() && member_.log_answers();
+          return !stopping_ && member_.election().is_leader() && member_.log_answers();
       }) {
     telling_load_ = loop_.every(load_period, [this] { log_load(); });
     tick();
@@ -112,7 +112,7 @@
 }
 
 std::optional<std::string> cell_host::writer_address() const {
-    const std::optional<reign_view>& reign = member_.election().current();
+    const std::optional<leader_info>& reign = member_.election().current_leader();
     if (!reign || reign->holder == self_)
         return std::nullopt;
     return reign->bus_address;
--- a/src/cell_host/cell_member.cpp
+++ b/src/cell_host/cell_member.cpp
@@ -24,16 +24,16 @@
 duration load_delay(double cpu_share, const incarnation_id& self) {
     constexpr double most_delayed = 3;
     constexpr double range = 18446744073709551616.0;
-    if (modesty_of(cpu_share) == duration::zero())
+    if (claim_delay_for(cpu_share) == duration::zero())
         return duration::zero();
     const double drawn = static_cast<double>(stable_hash(self.str())) / range;
     const std::chrono::duration<double> delay(most_delayed * std::sqrt(drawn));
     return std::chrono::duration_cast<duration>(delay);
 }
 
-reign_times times_of(double cpu_share) {
-    reign_times times;
-    times.modesty = modesty_of(cpu_share);
+election_timing times_of(double cpu_share) {
+    election_timing times;
+    times.claim_delay = claim_delay_for(cpu_share);
     return times;
 }
 
@@ -68,7 +68,7 @@
                    if (!keeps_copy())
                        return;
                    state_.apply(cell_stream::intake, record);
-                   intake_.skip(record);
+                   intake_.on_own_append(record);
                },
                [this] { return log_answers(); },
                [this](const std::vector<std::string>& keys, const std::function<void()>& done) {
@@ -77,10 +77,10 @@
       reign_(time, platform.log(), self_, place_.bus_address, times_of(cpu_share)),
       link_server_(time, platform.orders()) {
     for (keyed_follower* const follower : {&intake_, &progress_}) {
-        follower->wait_longer(longest_silence);
+        follower->set_max_read_timeout(longest_silence);
         follower->reset(time.now() + load_delay(cpu_share, self_));
     }
-    state_.on_intake([this](const job_entry& job) {
+    state_.set_intake_callback([this](const job_entry& job) {
         if (coordinator_)
             held_back_.push_back(job.id);
     });
@@ -91,15 +91,15 @@
     follow_jobs();
     jobs_.tick();
     writer_.tick();
-    reign_.stand(can_coordinate());
+    reign_.set_candidate(can_coordinate());
     reign_.tick();
-    if (!reign_.leads() || is_useful())
+    if (!reign_.is_leader() || is_useful())
         useful_at_ = time_.now();
-    else if (reign_.is_fresh() && time_.now() - useful_at_ > longest_unused)
+    else if (reign_.is_confirmed() && time_.now() - useful_at_ > longest_unused)
         step_aside();
-    if (journal_ && (deposed_ || !reign_.leads() || reign_.epoch() != prepared_))
+    if (journal_ && (deposed_ || !reign_.is_leader() || reign_.epoch() != prepared_))
         end_reign();
-    if (reign_.leads())
+    if (reign_.is_leader())
         lead();
     else
         offer_link();
--- a/src/cell_host/cell_member.h
+++ b/src/cell_host/cell_member.h
@@ -52,7 +52,7 @@
 
     const std::optional<cell_config>& config() const { return config_; }
     const cell_state& state() const { return state_; }
-    const reign& election() const { return reign_; }
+    const leader_election& election() const { return reign_; }
     intake_writer& writer() { return writer_; }
     const intake_writer& writer() const { return writer_; }
     /// Nothing while another host coordinates.
@@ -73,8 +73,8 @@
     bool log_answers() const;
     /// How long ago the newest moment is up to which all notices of workers, or of operators, are
     /// known. Workers are followed by the coordinator alone.
-    duration workers_age() const { return time_.now() - workers_.current_at(); }
-    duration operators_age() const { return time_.now() - operators_.current_at(); }
+    duration workers_age() const { return time_.now() - workers_.current_as_of(); }
+    duration operators_age() const { return time_.now() - operators_.current_as_of(); }
 
 private:
     struct ended_reign {
@@ -128,7 +128,7 @@
     routed_jobs jobs_;
     question_server questions_;
     intake_writer writer_;
-    reign reign_;
+    leader_election reign_;
     std::unique_ptr<progress_writer> journal_;
     /// While this host coordinates: its way to the workers.
     std::unique_ptr<linked_orders> orders_;
--- a/src/cell_host/cell_member_jobs.cpp
+++ b/src/cell_host/cell_member_jobs.cpp
@@ -21,10 +21,10 @@
     role_.tick(reign_.is_vacant());
     if (!keeps_copy()) {
         drop_copy();
-        operators_.set_pace(asking_operators);
+        operators_.set_options(asking_operators);
         return note_late_read(operators_, asking_operators.wait);
     }
-    operators_.set_pace(operators_pace);
+    operators_.set_options(operators_pace);
     if (!has_copy() && role_.awaits_word())
         return;
     has_state_ = true;
@@ -37,7 +37,7 @@
 
 void cell_member::follow_progress() {
     progress_.tick();
-    note_late_read(progress_, following_progress.period);
+    note_late_read(progress_, following_progress.min_period);
 }
 
 void cell_member::note_late_read(const keyed_follower& follower, duration period) {
@@ -47,7 +47,7 @@
 }
 
 bool cell_member::keeps_copy() const {
-    return role_.reads() || reign_.leads() || journal_ != nullptr;
+    return role_.reads() || reign_.is_leader() || journal_ != nullptr;
 }
 
 void cell_member::drop_copy() {
@@ -85,7 +85,7 @@
 
 /// Tells the coordinator that this host can pass orders on, or that it is about to stop.
 void cell_member::offer_link() {
-    const std::optional<reign_view>& reign = reign_.current();
+    const std::optional<leader_info>& reign = reign_.current_leader();
     if (!reign || reign->holder == self_)
         return;
     const instant now = time_.now();
--- a/src/cell_host/cell_member_reign.cpp
+++ b/src/cell_host/cell_member_reign.cpp
@@ -31,7 +31,7 @@
                {"workers_age_ms", workers_age() / std::chrono::milliseconds(1)},
                {"operators_age_ms", operators_age() / std::chrono::milliseconds(1)}});
     aside_until_ = time_.now() + time_aside;
-    reign_.yield();
+    reign_.step_down();
 }
 
 void cell_member::lead() {
@@ -47,7 +47,7 @@
         predecessor_->tick();
     pass_listing();
     // New jobs wait while the log doesn't confirm the reign (see `fresh_reign`).
-    intake_.set_pace(reign_.is_fresh() ? leading_intake : following_intake);
+    intake_.set_options(reign_.is_confirmed() ? leading_intake : following_intake);
     pass_intake();
     note_view();
     coordinator_->tick();
@@ -78,7 +78,7 @@
 /// log reads what came meanwhile before it learns that it has been followed; its successor starts
 /// those jobs without asking the workers that it can't reach.
 void cell_member::pass_intake() {
-    if (!reign_.is_fresh())
+    if (!reign_.is_confirmed())
         return;
     for (const job_id& id : std::exchange(held_back_, {}))
         if (const job_entry* const job = state_.find(id))
@@ -93,7 +93,7 @@
         time_, platform_.log(), prepared_,
         [this](const stored_record& record) {
             state_.apply(cell_stream::progress, record);
-            progress_.skip(record);
+            progress_.on_own_append(record);
         },
         [this] { deposed_ = true; });
     journal_->fence([this, epoch = prepared_](std::uint64_t) {
@@ -120,8 +120,8 @@
          [this] { return sees_notices(); }, [this] { deposed_ = true; },
          [this](const job_id& id, const std::function<void()>& done) { forget_job(id, done); }},
         settings_, prepared_,
-        {reign_.follows_resignation(), reign_.predecessors_acted_until(),
-         reign_.predecessors_prolonged_until()},
+        {reign_.predecessor_has_ended(), reign_.predecessors_acted_until(),
+         reign_.predecessors_renewed_leases_until()},
         state_);
     if (config_)
         coordinator_->take_config(*config_);
@@ -133,7 +133,7 @@
 
 /// It may act on without the log for seconds, and it alone knows what it has ordered.
 void cell_member::ask_predecessor() {
-    const std::optional<reign_view>& before = reign_.predecessor();
+    const std::optional<leader_info>& before = reign_.predecessor();
     if (!before || before->holder == self_ || coordinator_->counts().workers_unresolved == 0)
         return;
     predecessor_ = std::make_unique<predecessor_asker>(
@@ -160,7 +160,7 @@
     log_event(log_level::warn, "reign_ended",
               {{"epoch", static_cast<std::int64_t>(prepared_.value())}});
     if (reign_.epoch() == prepared_)
-        reign_.yield();
+        reign_.step_down();
     if (coordinator_)
         ended_ = ended_reign{prepared_, coordinator_->outstanding(), time_.now()};
     predecessor_.reset();
@@ -169,7 +169,7 @@
     roster_.reset();
     held_back_.clear();
     journal_.reset();
-    intake_.set_pace(following_intake);
+    intake_.set_options(following_intake);
 }
 
 } // namespace figwinch
--- a/src/cell_host/cell_metrics.cpp
+++ b/src/cell_host/cell_metrics.cpp
@@ -42,10 +42,10 @@
         set_reads(stream, platform.log_reads(stream));
     set("figwinch_cell_links", member.links(), "hosts that pass this coordinator's orders on");
     set("figwinch_cell_passed_on", member.passed_on(), "orders passed on for coordinators");
-    set("figwinch_cell_leads", member.election().leads() ? 1 : 0, "1 on the coordinator");
+    set("figwinch_cell_leads", member.election().is_leader() ? 1 : 0, "1 on the coordinator");
     set("figwinch_cell_epoch", member.election().epoch().value(), "this host's last epoch");
     set("figwinch_cell_log_answers", member.log_answers() ? 1 : 0, "0 while the log is silent");
-    set("figwinch_cell_records_unreadable", member.state().unreadable(),
+    set("figwinch_cell_records_unreadable", member.state().unreadable_records(),
         "records of the log that were passed over");
     set("figwinch_cell_has_copy", member.has_copy() ? 1 : 0,
         "1 where this host has a copy of the cell's jobs");
@@ -73,7 +73,7 @@
     set_one("figwinch_cell_read_bytes", static_cast<double>(reads.bytes), "that these brought");
     set_one("figwinch_cell_reads_given_up", static_cast<double>(reads.given_up),
             "reads without a whole answer in time");
-    set_one("figwinch_cell_reads_seconds", std::chrono::duration<double>(reads.taken).count(),
+    set_one("figwinch_cell_reads_seconds", std::chrono::duration<double>(reads.total_time).count(),
             "what reads took in all, their waits for records included");
 }
 
--- a/src/cell_host/cell_status.cpp
+++ b/src/cell_host/cell_status.cpp
@@ -35,12 +35,12 @@
 std::string encode_status(const std::string& node, const cell_member& member) {
     pb::CellView shown;
     shown.set_node(node);
-    shown.set_leads(member.election().leads());
+    shown.set_leads(member.election().is_leader());
     shown.set_log_answers(member.log_answers());
     shown.set_jobs_known(member.state().jobs().size());
     if (member.config())
         shown.set_config_version(member.config()->version.value());
-    if (const std::optional<reign_view>& current = member.election().current()) {
+    if (const std::optional<leader_info>& current = member.election().current_leader()) {
         shown.set_coordinator(current->holder.str());
         shown.set_epoch(current->epoch.value());
     }
--- a/src/cell_host/host_load.cpp
+++ b/src/cell_host/host_load.cpp
@@ -32,7 +32,7 @@
                {"calls", since(now.calls, before.calls)},
                {"bytes", since(now.bytes, before.bytes)},
                {"given_up", since(now.given_up, before.given_up)},
-               {"taken_ms", (now.taken - before.taken) / std::chrono::milliseconds(1)}});
+               {"taken_ms", (now.total_time - before.total_time) / std::chrono::milliseconds(1)}});
 }
 
 } // namespace
--- a/src/cell_host/intake_writer.cpp
+++ b/src/cell_host/intake_writer.cpp
@@ -182,7 +182,7 @@
     intake_entries late = std::exchange(batch_, {});
     for (intake_entry& entry : late) {
         entry.doubtful = true;
-        entry.append_from = sent_at_ + with_.log.longest_queue();
+        entry.append_from = sent_at_ + with_.log.max_append_wait();
     }
     abandon_append();
     waiting_.put_back(std::move(late));
@@ -221,7 +221,7 @@
 /// slow log the first may wait in the queue, and a second would only make that longer. Without an
 /// answer to the second callers are told so.
 void intake_writer::take_silence() {
-    const duration queue = pace_.is_slow() ? with_.log.longest_queue() : duration::zero();
+    const duration queue = pace_.is_slow() ? with_.log.max_append_wait() : duration::zero();
     intake_entries again;
     for (intake_entry& sent : std::exchange(batch_, {})) {
         if (std::exchange(sent.doubtful, true))
@@ -247,7 +247,7 @@
     pace_.note_full();
     intake_entries again;
     for (intake_entry& entry : refused) {
-        const bool can_wait = entry.deadline - with_.time.now() > with_.log.longest_queue();
+        const bool can_wait = entry.deadline - with_.time.now() > with_.log.max_append_wait();
         if (can_wait || (hands_over() && !entry.own))
             again.push_back(std::move(entry));
         else
--- a/src/cell_host/job_front.cpp
+++ b/src/cell_host/job_front.cpp
@@ -76,9 +76,9 @@
     job->queue = queue.name;
     job->service = queue.service;
     job->priority = queue.priority;
-    job->attempts = queue.attempts;
+    job->attempts = queue.max_attempts;
     job->stretch = queue.stretch;
-    job->target = queue.target;
+    job->target = queue.latency_target;
     job->accepted_at = with_.time.wall_now();
     std::vector<stored_record> records;
     records.push_back({record_key(record_kind::job, id.str()), encode_job(*job), 0});
--- a/src/cell_host/local_jobs.cpp
+++ b/src/cell_host/local_jobs.cpp
@@ -27,7 +27,7 @@
 }
 
 void local_jobs::count_waiting(const queue_name& queue, instant, waiting_handler done) {
-    done(state_.waiting(queue));
+    done(state_.waiting_jobs(queue));
 }
 
 void local_jobs::tick() {
--- a/src/cell_host/predecessor_asker.cpp
+++ b/src/cell_host/predecessor_asker.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 predecessor_asker::predecessor_asker(const clock& time, peer_asker& peers,
-                                     const reign_view& predecessor, lease_epoch epoch,
+                                     const leader_info& predecessor, lease_epoch epoch,
                                      instant acts_until,
                                      std::function<void(const outstanding_orders&)> take)
     : time_(time), peers_(peers), where_(predecessor.bus_address),
--- a/src/cell_host/predecessor_asker.h
+++ b/src/cell_host/predecessor_asker.h
@@ -14,7 +14,7 @@
 class predecessor_asker {
 public:
     /// `peers` outlives it; `take` is called at most once, from a reply.
-    predecessor_asker(const clock& time, peer_asker& peers, const reign_view& predecessor,
+    predecessor_asker(const clock& time, peer_asker& peers, const leader_info& predecessor,
                       lease_epoch epoch, instant acts_until,
                       std::function<void(const outstanding_orders&)> take);
 
--- a/tests/cell/cell_history.cpp
+++ b/tests/cell/cell_history.cpp
@@ -1,7 +1,7 @@
 #include "tests/cell/cell_history.h"
 
+#include "tests/cell/history_checker.h"
 #include "tests/cell/history_faults.h"
-#include "tests/cell/history_judge.h"
 #include "tests/cell/lasting_rule.h"
 
 #include <sstream>
@@ -13,45 +13,45 @@
 using std::chrono::seconds;
 
 constexpr std::size_t host_count = 3;
-constexpr std::size_t linked_host_count = 5;
-constexpr std::size_t asking_host_count = 9;
+constexpr std::size_t relay_host_count = 5;
+constexpr std::size_t replica_host_count = 9;
 constexpr std::size_t worker_count = 5;
 constexpr duration short_lease = seconds(6);
 constexpr duration long_lease = seconds(10);
-constexpr duration trouble_time = seconds(25);
+constexpr duration fault_phase = seconds(25);
 // Longer than every wait that a correct scheduler may need: the time that a coordinator acts
 // without the log, a worker lease, and the return of an unlisted worker.
-constexpr duration calm_time = seconds(45);
+constexpr duration recovery_phase = seconds(45);
 
 /// Seeds below this one keep the faults with which they were recorded as regression tests. From
 /// this seed on a worker may also be unreachable during a restart of the coordinator, and workers
 /// grant long leases in every other history.
-constexpr std::uint64_t first_beside_dark = 5'000'000;
+constexpr std::uint64_t first_restart_fault_seed = 5'000'000;
 
 /// From this seed on hosts relay the coordinator's orders, and the relays have faults of their own.
-constexpr std::uint64_t first_linked = 20'000'000;
+constexpr std::uint64_t first_relay_seed = 20'000'000;
 
 /// From this seed on there are hosts that keep no copy of the jobs and ask read replicas.
-constexpr std::uint64_t first_asking = 22'000'000;
+constexpr std::uint64_t first_replica_seed = 22'000'000;
 
-bool is_beside_dark(std::uint64_t seed) {
-    return seed >= first_beside_dark;
+bool has_restart_faults(std::uint64_t seed) {
+    return seed >= first_restart_fault_seed;
 }
 
-bool is_linked(std::uint64_t seed) {
-    return seed >= first_linked;
+bool has_relays(std::uint64_t seed) {
+    return seed >= first_relay_seed;
 }
 
-std::size_t hosts_of(std::uint64_t seed) {
-    if (seed >= first_asking)
-        return asking_host_count;
-    return is_linked(seed) ? linked_host_count : host_count;
+std::size_t host_count_of(std::uint64_t seed) {
+    if (seed >= first_replica_seed)
+        return replica_host_count;
+    return has_relays(seed) ? relay_host_count : host_count;
 }
 
 /// Long leases lengthen the waits of a successor; short leases expire during faults.
 cell_settings settings_for(std::uint64_t seed) {
     cell_settings settings;
-    settings.max_hold = is_beside_dark(seed) && seed % 2 != 0 ? long_lease : short_lease;
+    settings.max_hold = has_restart_faults(seed) && seed % 2 != 0 ? long_lease : short_lease;
     return settings;
 }
 
@@ -59,21 +59,22 @@
 class history {
 public:
     history(std::uint64_t seed, std::size_t faults)
-        : world_(seed, hosts_of(seed), worker_count, settings_for(seed), is_linked(seed)),
-          fault_count_(faults), beside_dark_(is_beside_dark(seed)), linked_(is_linked(seed)) {}
+        : world_(seed, host_count_of(seed), worker_count, settings_for(seed), has_relays(seed)),
+          fault_count_(faults), restart_faults_(has_restart_faults(seed)),
+          has_relays_(has_relays(seed)) {}
 
-    history_outcome play() {
+    history_outcome run() {
         plan_jobs();
-        faults_.plan(fault_count_, trouble_time, beside_dark_);
-        if (linked_)
-            faults_.plan_links(fault_count_, trouble_time);
-        world_.time().run_for(trouble_time);
-        faults_.calm();
-        world_.time().run_for(calm_time);
+        faults_.schedule_faults(fault_count_, fault_phase, restart_faults_);
+        if (has_relays_)
+            faults_.schedule_relay_faults(fault_count_, fault_phase);
+        world_.time().run_for(fault_phase);
+        faults_.end_all();
+        world_.time().run_for(recovery_phase);
         history_outcome outcome;
         outcome.starts = world_.watch().starts;
-        outcome.faults_played = fault_count_;
-        outcome.fault = history_judge(world_).judge(accepted_);
+        outcome.fault_count = fault_count_;
+        outcome.violation = history_checker(world_).find_violation(accepted_);
         return outcome;
     }
 
@@ -83,7 +84,7 @@
     void plan_jobs() {
         const std::size_t jobs = 6 + world_.draw() % 8;
         for (std::size_t index = 0; index < jobs; ++index)
-            world_.time().after(world_.draw_time(trouble_time), [this, index] { submit(index); });
+            world_.time().after(world_.draw_time(fault_phase), [this, index] { submit(index); });
     }
     step_spec draw_step() {
         step_spec step =
@@ -103,7 +104,7 @@
         const job_spec job = cell_world::make_job(steps);
         std::ostringstream id;
         id << "job" << index;
-        hand_in(id.str(), job);
+        submit_until_final(id.str(), job);
         if (world_.draw() % 6 == 0)
             world_.time().after(world_.draw_time(seconds(6)), [this, id = id.str()] {
                 const std::size_t host = draw_host();
@@ -114,28 +115,28 @@
             });
     }
     /// Submits a job as a caller does: again at another host until there is a final answer.
-    void hand_in(const std::string& id, const job_spec& job) {
+    void submit_until_final(const std::string& id, const job_spec& job) {
         const std::size_t host = draw_host();
         if (world_.host(host) == nullptr) {
-            world_.time().after(milliseconds(300), [=, this] { hand_in(id, job); });
+            world_.time().after(milliseconds(300), [=, this] { submit_until_final(id, job); });
             return;
         }
-        const auto told = world_.submit(host, id, job);
+        const auto reply = world_.submit(host, id, job);
         // `lasting_rule` models only cells in which the coordinator reaches workers directly.
-        if (job.steps.front().lasting && !linked_)
-            lasting_.follow(id, told);
+        if (job.steps.front().lasting && !has_relays_)
+            lasting_.follow(id, reply);
         world_.time().after(milliseconds(3200), [=, this] {
-            if (told->has_value() && **told == intake_outcome::stored)
+            if (reply->has_value() && **reply == intake_outcome::stored)
                 accepted_.insert(id);
             else
-                hand_in(id, job);
+                submit_until_final(id, job);
         });
     }
 
     cell_world world_;
     std::size_t fault_count_;
-    bool beside_dark_;
-    bool linked_;
+    bool restart_faults_;
+    bool has_relays_;
     history_faults faults_{world_};
     lasting_rule lasting_{world_};
     std::set<std::string> accepted_;
@@ -143,8 +144,8 @@
 
 } // namespace
 
-history_outcome play_history(std::uint64_t seed, std::size_t faults) {
-    return history(seed, faults).play();
+history_outcome run_history(std::uint64_t seed, std::size_t faults) {
+    return history(seed, faults).run();
 }
 
 } // namespace figwinch::sim
--- a/tests/cell/cell_history.h
+++ b/tests/cell/cell_history.h
@@ -4,17 +4,17 @@
 
 namespace figwinch::sim {
 
-/// The result of one history. An empty `fault`: no invariant was violated and every job ended.
+/// The result of one history. An empty `violation`: no invariant was violated and every job ended.
 struct history_outcome {
-    std::string fault;
+    std::string violation;
     std::uint64_t starts = 0;
-    std::uint64_t faults_played = 0;
+    std::uint64_t fault_count = 0;
 };
 
 /// Runs one randomized history of a cell: jobs of all kinds with the given number of faults, some
 /// at the same time, then a phase without faults. No invariant may be violated at any time,
 /// including the time limit on restarts of service tasks (`lasting_rule`). At the end every
 /// accepted job must have ended and every service task must run.
-history_outcome play_history(std::uint64_t seed, std::size_t faults);
+history_outcome run_history(std::uint64_t seed, std::size_t faults);
 
 } // namespace figwinch::sim
--- a/tests/cell/cell_history_test.cpp
+++ b/tests/cell/cell_history_test.cpp
@@ -13,9 +13,9 @@
 
 #ifdef __SANITIZE_ADDRESS__
 // The sanitizer build is ten times slower and runs fewer seeds; the plain build runs all of them.
-constexpr std::uint64_t usual_seeds = 100;
+constexpr std::uint64_t default_seed_count = 100;
 #else
-constexpr std::uint64_t usual_seeds = 2500;
+constexpr std::uint64_t default_seed_count = 2500;
 #endif
 
 /// Randomized histories: callers submit jobs while hosts, workers and the store fail at random,
@@ -28,7 +28,7 @@
     CPPUNIT_TEST(histories_with_one_fault);
     CPPUNIT_TEST(histories_with_two_faults);
     CPPUNIT_TEST(histories_with_six_faults);
-    CPPUNIT_TEST(histories_beside_dark_workers);
+    CPPUNIT_TEST(histories_with_restarts_beside_unreachable_workers);
     CPPUNIT_TEST(histories_with_orders_passed_on);
     CPPUNIT_TEST(histories_with_orders_passed_on_and_six_faults);
     CPPUNIT_TEST(histories_of_hosts_that_ask);
@@ -38,76 +38,81 @@
     CPPUNIT_TEST(a_lasting_task_recorded_before_a_freeze_runs_in_time);
     CPPUNIT_TEST_SUITE_END();
 
-    static constexpr std::uint64_t recorded_beside_partings = 4'001'194;
-    static constexpr std::uint64_t recorded_before_freeze = 4'003'866;
+    static constexpr std::uint64_t seed_recorded_during_partitions = 4'001'194;
+    static constexpr std::uint64_t seed_recorded_before_freeze = 4'003'866;
 
     /// The number of seeds of each kind of history. FIGWINCH_HISTORY_SEEDS overrides it for long
     /// searches, FIGWINCH_HISTORY_SEED runs a single seed.
     static std::uint64_t seeds() {
         const char* const wanted = std::getenv("FIGWINCH_HISTORY_SEEDS");
-        return wanted != nullptr ? std::strtoull(wanted, nullptr, 10) : usual_seeds;
+        return wanted != nullptr ? std::strtoull(wanted, nullptr, 10) : default_seed_count;
     }
     /// Fewer seeds for cells with three times as many hosts, whose histories take longer.
     static std::uint64_t large_cell_seeds() { return seeds() / 20; }
-    static void play(std::size_t faults, std::uint64_t first) { play(faults, first, seeds()); }
-    static void play(std::size_t faults, std::uint64_t first, std::uint64_t count) {
+    static void run_histories(std::size_t faults, std::uint64_t first) {
+        run_histories(faults, first, seeds());
+    }
+    static void run_histories(std::size_t faults, std::uint64_t first, std::uint64_t count) {
         if (const char* const one = std::getenv("FIGWINCH_HISTORY_SEED")) {
             start_logging("history", one, log_level::info);
-            const history_outcome outcome = play_history(std::strtoull(one, nullptr, 10), faults);
-            CPPUNIT_ASSERT_EQUAL(std::string(), outcome.fault);
+            const history_outcome outcome = run_history(std::strtoull(one, nullptr, 10), faults);
+            CPPUNIT_ASSERT_EQUAL(std::string(), outcome.violation);
             return;
         }
         std::uint64_t starts = 0;
-        std::string broken;
+        std::string violations;
         // Seeds that have a test case of their own below.
-        const auto is_noted = [](std::uint64_t seed) {
-            return seed == recorded_beside_partings || seed == recorded_before_freeze;
+        const auto has_own_test = [](std::uint64_t seed) {
+            return seed == seed_recorded_during_partitions || seed == seed_recorded_before_freeze;
         };
         // Continues after a violation, so that a seed that is known to fail doesn't hide others.
         for (std::uint64_t seed = first; seed < first + count; ++seed) {
-            if (is_noted(seed))
+            if (has_own_test(seed))
                 continue;
-            const history_outcome outcome = play_history(seed, faults);
+            const history_outcome outcome = run_history(seed, faults);
             starts += outcome.starts;
-            if (!outcome.fault.empty())
-                broken += "\nseed " + std::to_string(seed) + ", faults " + std::to_string(faults) +
-                          ": " + outcome.fault;
+            if (!outcome.violation.empty())
+                violations += "\nseed " + std::to_string(seed) + ", faults " +
+                              std::to_string(faults) + ": " + outcome.violation;
         }
-        CPPUNIT_ASSERT_EQUAL(std::string(), broken);
+        CPPUNIT_ASSERT_EQUAL(std::string(), violations);
         // Guards against histories in which nothing is started, which would check nothing.
         CPPUNIT_ASSERT(starts > 5 * count);
     }
 
 public:
-    void calm_histories() { play(0, 1'000'000); }
-    void histories_with_one_fault() { play(1, 2'000'000); }
-    void histories_with_two_faults() { play(2, 3'000'000); }
-    void histories_with_six_faults() { play(6, 4'000'000); }
-    void histories_beside_dark_workers() { play(3, 5'000'000); }
+    void calm_histories() { run_histories(0, 1'000'000); }
+    void histories_with_one_fault() { run_histories(1, 2'000'000); }
+    void histories_with_two_faults() { run_histories(2, 3'000'000); }
+    void histories_with_six_faults() { run_histories(6, 4'000'000); }
+    void histories_with_restarts_beside_unreachable_workers() { run_histories(3, 5'000'000); }
     /// Guards against orders that a relay delivers late, twice, or for a coordinator that has a
     /// successor. Each history has as many additional faults of relays.
-    void histories_with_orders_passed_on() { play(1, 20'000'000); }
-    void histories_with_orders_passed_on_and_six_faults() { play(6, 21'000'000); }
+    void histories_with_orders_passed_on() { run_histories(1, 20'000'000); }
+    void histories_with_orders_passed_on_and_six_faults() { run_histories(6, 21'000'000); }
     /// Guards against hosts without a copy of the jobs that answer callers incorrectly or become
     /// coordinator.
-    void histories_of_hosts_that_ask() { play(1, 22'000'000, large_cell_seeds()); }
-    void histories_of_hosts_that_ask_and_six_faults() { play(6, 23'000'000, large_cell_seeds()); }
+    void histories_of_hosts_that_ask() { run_histories(1, 22'000'000, large_cell_seeds()); }
+    void histories_of_hosts_that_ask_and_six_faults() {
+        run_histories(6, 23'000'000, large_cell_seeds());
+    }
     /// Guards against leases so long that a service task assigned to a lost worker is down for
     /// longer than the limit.
     void lasting_tasks_that_were_recorded_without_an_order_run_in_time() {
-        constexpr std::array<std::uint64_t, 3> noted = {7'001'533, 7'001'942, 12'001'586};
-        for (const std::uint64_t seed : noted)
-            CPPUNIT_ASSERT_EQUAL(std::string(), play_history(seed, 6).fault);
+        constexpr std::array<std::uint64_t, 3> recorded = {7'001'533, 7'001'942, 12'001'586};
+        for (const std::uint64_t seed : recorded)
+            CPPUNIT_ASSERT_EQUAL(std::string(), run_history(seed, 6).violation);
     }
     /// Guards against a service task that waits for an unreachable worker on which the previous
     /// coordinator recorded it but never started it.
     void a_lasting_task_recorded_beside_two_partings_runs_in_time() {
-        CPPUNIT_ASSERT_EQUAL(std::string(), play_history(recorded_beside_partings, 6).fault);
+        CPPUNIT_ASSERT_EQUAL(std::string(),
+                             run_history(seed_recorded_during_partitions, 6).violation);
     }
     /// The same for a task that a coordinator recorded, without starting it, just before its
     /// process froze.
     void a_lasting_task_recorded_before_a_freeze_runs_in_time() {
-        CPPUNIT_ASSERT_EQUAL(std::string(), play_history(recorded_before_freeze, 6).fault);
+        CPPUNIT_ASSERT_EQUAL(std::string(), run_history(seed_recorded_before_freeze, 6).violation);
     }
 };
 
--- a/tests/cell/cell_recovery_test.cpp
+++ b/tests/cell/cell_recovery_test.cpp
@@ -17,13 +17,13 @@
     CPPUNIT_TEST(a_fenced_predecessor_can_order_nothing);
     CPPUNIT_TEST(tasks_of_a_worker_lost_for_good_run_elsewhere_after_its_lease);
     CPPUNIT_TEST(what_a_predecessor_may_have_held_is_counted_from_its_last_renewal);
-    CPPUNIT_TEST(a_reign_between_doesnt_end_what_the_one_before_it_holds);
+    CPPUNIT_TEST(a_term_between_doesnt_end_the_leases_of_the_one_before_it);
     CPPUNIT_TEST(a_late_failure_of_an_earlier_run_counts);
     CPPUNIT_TEST(a_run_of_a_job_that_is_not_read_yet_is_left_alone);
-    CPPUNIT_TEST(lasting_tasks_leave_a_worker_that_leaves);
+    CPPUNIT_TEST(service_tasks_leave_a_worker_that_leaves);
     CPPUNIT_TEST(nothing_starts_in_a_data_centre_that_was_taken_out);
     CPPUNIT_TEST(a_store_that_forgets_its_history_loses_no_job);
-    CPPUNIT_TEST(a_parted_coordinator_doesnt_count_on_leases_running_out);
+    CPPUNIT_TEST(a_partitioned_coordinator_doesnt_count_on_lease_expiry);
     CPPUNIT_TEST(tasks_that_stand_still_are_moved);
     CPPUNIT_TEST(people_see_why_a_job_waits);
     CPPUNIT_TEST(a_resend_is_the_same_job);
@@ -36,7 +36,7 @@
 
     cell_world world_{7, 3, 4};
 
-    static job_spec lasting(std::uint32_t tasks) {
+    static job_spec service_job(std::uint32_t tasks) {
         step_spec step = cell_world::make_step(tasks, 1000);
         step.lasting = true;
         return cell_world::make_job({step});
@@ -47,11 +47,11 @@
     static std::string task(const std::string& job, std::uint32_t index) {
         return job + ".0.0." + std::to_string(index);
     }
-    void kept_the_rules() {
+    void assert_invariants() {
         if (!world_.watch().broken.empty())
             CPPUNIT_FAIL(world_.watch().broken.front());
     }
-    void begin() {
+    void start_cell() {
         world_.watch().failing = 0;
         world_.time().run_for(seconds(2));
     }
@@ -64,11 +64,11 @@
     /// All hosts lose power in the millisecond after a caller's job was accepted. After their
     /// restart the job must still be known and run.
     void an_accepted_job_outlives_the_power_of_all_hosts() {
-        begin();
-        const auto told = world_.submit(1, "a", short_job(3));
-        while (!told->has_value())
+        start_cell();
+        const auto reply = world_.submit(1, "a", short_job(3));
+        while (!reply->has_value())
             world_.time().run_for(milliseconds(1));
-        CPPUNIT_ASSERT(**told == intake_outcome::stored);
+        CPPUNIT_ASSERT(**reply == intake_outcome::stored);
         for (std::size_t host = 0; host < 3; ++host)
             world_.kill_host(host);
         world_.time().run_for(seconds(1));
@@ -76,13 +76,13 @@
             world_.start_host(host);
         world_.time().run_for(seconds(16));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("a"));
-        kept_the_rules();
+        assert_invariants();
     }
     /// The coordinator is killed while tasks run. Its successor must find them on the workers and
     /// let them continue instead of starting them again.
     void running_tasks_go_on_under_the_next_coordinator() {
-        begin();
-        world_.submit(0, "a", lasting(6));
+        start_cell();
+        world_.submit(0, "a", service_job(6));
         world_.time().run_for(seconds(2));
         const std::uint64_t starts = world_.watch().starts;
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, starts);
@@ -95,12 +95,12 @@
             world_.time().run_for(seconds(8));
         }
         CPPUNIT_ASSERT_EQUAL(starts, world_.watch().starts);
-        kept_the_rules();
+        assert_invariants();
     }
     /// A coordinator freezes for longer than the takeover timeout. When it resumes it still
     /// believes that it is coordinator; workers and log must refuse its orders by their epoch.
     void a_fenced_predecessor_can_order_nothing() {
-        begin();
+        start_cell();
         const std::size_t first = *world_.coordinator();
         world_.host(first)->freeze_for(seconds(4));
         world_.time().run_for(milliseconds(3900));
@@ -108,15 +108,15 @@
         world_.submit((first + 1) % 3, "a", short_job(4));
         world_.time().run_for(seconds(12));
         CPPUNIT_ASSERT(second != first);
-        CPPUNIT_ASSERT(!world_.host(first)->member().election().leads());
+        CPPUNIT_ASSERT(!world_.host(first)->member().election().is_leader());
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("a"));
-        kept_the_rules();
+        assert_invariants();
     }
     /// A worker is lost for good. If each unanswered lease renewal postponed the expected lease
     /// expiry, its tasks would never be started elsewhere.
     void tasks_of_a_worker_lost_for_good_run_elsewhere_after_its_lease() {
-        begin();
-        world_.submit(0, "a", lasting(8));
+        start_cell();
+        world_.submit(0, "a", service_job(8));
         world_.time().run_for(seconds(3));
         world_.fleet().workers.at("w1").cut = true;
         world_.fleet().workers.at("w1").worker->reborn();
@@ -125,15 +125,15 @@
         world_.time().run_for(milliseconds(5500));
         for (std::uint32_t index = 0; index < 8; ++index)
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
-        kept_the_rules();
+        assert_invariants();
     }
     /// The log is unavailable to all hosts for 6 s, and a worker is lost meanwhile. Its lease
     /// expires at the latest 5 s (for how long a coordinator acts without the log) plus one lease
     /// after the last renewal in the log. Counting from the successor's claim instead delays the
     /// tasks by 7 s.
     void what_a_predecessor_may_have_held_is_counted_from_its_last_renewal() {
-        begin();
-        world_.submit(0, "a", lasting(8));
+        start_cell();
+        world_.submit(0, "a", service_job(8));
         world_.time().run_for(seconds(3));
         const auto all_ways = [this](sim_log::way state) {
             for (std::size_t host = 0; host < 3; ++host)
@@ -146,7 +146,7 @@
         world_.time().run_for(milliseconds(1500));
         all_ways(sim_log::way::open);
         world_.time().run_for(seconds(7));
-        kept_the_rules();
+        assert_invariants();
         for (std::uint32_t index = 0; index < 8; ++index)
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
     }
@@ -154,32 +154,32 @@
     /// renews that worker's lease for 5 s. Its successor resigns within a second, as in a rolling
     /// restart. A third coordinator that counts the lease from that resignation would start the
     /// tasks elsewhere while they still run.
-    void a_reign_between_doesnt_end_what_the_one_before_it_holds() {
-        begin();
-        world_.submit(0, "a", lasting(8));
+    void a_term_between_doesnt_end_the_leases_of_the_one_before_it() {
+        start_cell();
+        world_.submit(0, "a", service_job(8));
         world_.time().run_for(seconds(3));
-        const std::size_t parted = *world_.coordinator();
+        const std::size_t partitioned = *world_.coordinator();
         for (std::size_t host = 0; host < 3; ++host)
-            if (host != parted)
+            if (host != partitioned)
                 world_.host(host)->way_to_workers().cut_from.insert("w0");
-        world_.host(parted)->way_to_log().state = sim_log::way::silent;
+        world_.host(partitioned)->way_to_log().state = sim_log::way::silent;
         std::optional<std::size_t> between;
-        for (int step = 0; step < 40 && (!between || *between == parted); ++step) {
+        for (int step = 0; step < 40 && (!between || *between == partitioned); ++step) {
             world_.time().run_for(milliseconds(100));
             for (std::size_t host = 0; host < 3; ++host)
-                if (host != parted && world_.host(host)->member().coordinating() != nullptr)
+                if (host != partitioned && world_.host(host)->member().coordinating() != nullptr)
                     between = host;
         }
-        CPPUNIT_ASSERT(between && *between != parted);
+        CPPUNIT_ASSERT(between && *between != partitioned);
         world_.host(*between)->member().resign();
         world_.time().run_for(seconds(12));
-        kept_the_rules();
+        assert_invariants();
     }
     /// A run fails on an unreachable worker, a later run of the task fails elsewhere, then the
     /// first failure is reported. The late report must count although its run number is lower;
     /// otherwise the task gets one attempt too many.
     void a_late_failure_of_an_earlier_run_counts() {
-        begin();
+        start_cell();
         world_.watch().failing = 1;
         world_.submit(0, "a", short_job(1));
         world_.time().run_for(milliseconds(150));
@@ -193,16 +193,16 @@
         world_.fleet().workers.at(cut).cut = false;
         world_.time().run_for(seconds(15));
         CPPUNIT_ASSERT_EQUAL(std::string("failed"), phase("a"));
-        kept_the_rules();
+        assert_invariants();
     }
     /// A job is accepted and started just before the coordinator resigns. The successor sees the
     /// runs on workers before it has read the job; it must neither stop them as orphaned runs nor
     /// start them again.
     void a_run_of_a_job_that_is_not_read_yet_is_left_alone() {
-        begin();
+        start_cell();
         for (int round = 0; round < 6; ++round) {
             const std::size_t first = *world_.coordinator();
-            world_.submit(first, "r" + std::to_string(round), lasting(2));
+            world_.submit(first, "r" + std::to_string(round), service_job(2));
             world_.time().run_for(milliseconds(30 + 10 * round));
             world_.host(first)->member().resign();
             world_.time().run_for(milliseconds(800));
@@ -211,21 +211,21 @@
             world_.time().run_for(seconds(3));
         }
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, world_.watch().starts);
-        kept_the_rules();
+        assert_invariants();
     }
-    void lasting_tasks_leave_a_worker_that_leaves() {
-        begin();
-        world_.submit(0, "a", lasting(8));
+    void service_tasks_leave_a_worker_that_leaves() {
+        start_cell();
+        world_.submit(0, "a", service_job(8));
         world_.time().run_for(seconds(2));
         world_.list_worker("w2", "leaving");
         world_.time().run_for(seconds(2));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, world_.fleet().workers.at("w2").worker->running());
         for (std::uint32_t index = 0; index < 8; ++index)
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
-        kept_the_rules();
+        assert_invariants();
     }
     void nothing_starts_in_a_data_centre_that_was_taken_out() {
-        begin();
+        start_cell();
         for (const char* const name : {"out/dc-0", "out/dc-1"})
             world_.store().append(cell_stream::operators, {{name, "{}", 0}}, {});
         world_.time().run_for(milliseconds(500));
@@ -238,8 +238,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("a"));
     }
     void a_store_that_forgets_its_history_loses_no_job() {
-        begin();
-        world_.submit(0, "a", lasting(2));
+        start_cell();
+        world_.submit(0, "a", service_job(2));
         world_.submit(1, "b", short_job(4));
         world_.time().run_for(milliseconds(300));
         world_.store().compact();
@@ -252,49 +252,49 @@
             CPPUNIT_ASSERT(world_.job(host, "a") != nullptr);
             CPPUNIT_ASSERT(world_.job(host, "b")->phase == job_phase::succeeded);
         }
-        kept_the_rules();
+        assert_invariants();
     }
     /// A network partition cuts off the coordinator with two of the four workers, and later also
     /// from the log. The others elect a successor, which renews the leases of the other two
     /// workers. By the old coordinator's clock those leases expire; if it then restarted their
     /// tasks on its own workers, they would run twice.
-    void a_parted_coordinator_doesnt_count_on_leases_running_out() {
-        begin();
-        world_.submit(0, "a", lasting(8));
+    void a_partitioned_coordinator_doesnt_count_on_lease_expiry() {
+        start_cell();
+        world_.submit(0, "a", service_job(8));
         world_.time().run_for(seconds(3));
-        const std::size_t parted = *world_.coordinator();
+        const std::size_t partitioned = *world_.coordinator();
         for (std::size_t host = 0; host < 3; ++host)
             for (const char* const worker : {"w0", "w1", "w2", "w3"})
-                if ((host == parted) != (std::string(worker) < "w2"))
+                if ((host == partitioned) != (std::string(worker) < "w2"))
                     world_.host(host)->way_to_workers().cut_from.insert(worker);
         world_.time().run_for(milliseconds(2500));
-        world_.host(parted)->way_to_log().state = sim_log::way::silent;
+        world_.host(partitioned)->way_to_log().state = sim_log::way::silent;
         world_.time().run_for(seconds(7));
-        kept_the_rules();
-        world_.host(parted)->way_to_log().state = sim_log::way::open;
+        assert_invariants();
+        world_.host(partitioned)->way_to_log().state = sim_log::way::open;
         for (std::size_t host = 0; host < 3; ++host)
             world_.host(host)->way_to_workers().cut_from.clear();
         world_.time().run_for(seconds(14));
         for (std::uint32_t index = 0; index < 8; ++index)
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
-        kept_the_rules();
+        assert_invariants();
     }
     /// A worker responds and reports, but its runs make no progress. Unless the coordinator
     /// compares the reported progress over time, the job never ends.
     void tasks_that_stand_still_are_moved() {
-        begin();
+        start_cell();
         world_.fleet().workers.at("w2").worker->hangs = true;
         world_.submit(0, "a", short_job(16));
         world_.time().run_for(seconds(9));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("a"));
-        kept_the_rules();
+        assert_invariants();
     }
     /// One job occupies all workers, another needs a label that no worker has, a third needs more
     /// room than is free. The coordinator's view must give the reason why each of the last two
     /// waits.
     void people_see_why_a_job_waits() {
-        begin();
-        world_.submit(0, "a", lasting(16));
+        start_cell();
+        world_.submit(0, "a", service_job(16));
         world_.time().run_for(seconds(1));
         step_spec labelled = cell_world::make_step(1, 500);
         labelled.label = "rare";
@@ -316,7 +316,7 @@
     }
     /// A caller sends a job again at another host, seconds after the first host accepted it.
     void a_resend_is_the_same_job() {
-        begin();
+        start_cell();
         world_.submit(0, "a", short_job(2));
         world_.time().run_for(milliseconds(100));
         world_.submit(1, "a", short_job(2));
@@ -330,25 +330,25 @@
     /// The caller must get an answer before its deadline, so that it can try another host, and the
     /// answer must be "unknown", since the first append may have been stored.
     void a_caller_is_not_held_when_a_silent_log_comes_back_refusing() {
-        begin();
+        start_cell();
         world_.host(0)->way_to_log().state = sim_log::way::silent;
-        const auto told = world_.submit(0, "a", short_job(1));
+        const auto reply = world_.submit(0, "a", short_job(1));
         world_.time().run_for(milliseconds(300));
         world_.host(0)->way_to_log().state = sim_log::way::refused;
         // The first append times out after 0.8 s.
         world_.time().run_for(milliseconds(900));
-        CPPUNIT_ASSERT(told->has_value());
-        CPPUNIT_ASSERT(**told == intake_outcome::unknown);
+        CPPUNIT_ASSERT(reply->has_value());
+        CPPUNIT_ASSERT(**reply == intake_outcome::unknown);
     }
     /// The log refuses a job and the caller is told so. The job must never run.
     void a_refused_submission_never_runs() {
-        begin();
+        start_cell();
         for (std::size_t host = 0; host < 3; ++host)
             world_.host(host)->way_to_log().state = sim_log::way::refused;
-        const auto told = world_.submit(0, "a", short_job(2));
+        const auto reply = world_.submit(0, "a", short_job(2));
         world_.time().run_for(milliseconds(200));
-        CPPUNIT_ASSERT(told->has_value());
-        CPPUNIT_ASSERT(**told == intake_outcome::not_stored);
+        CPPUNIT_ASSERT(reply->has_value());
+        CPPUNIT_ASSERT(**reply == intake_outcome::not_stored);
         for (std::size_t host = 0; host < 3; ++host)
             world_.host(host)->way_to_log().state = sim_log::way::open;
         world_.time().run_for(seconds(6));
@@ -357,32 +357,32 @@
     /// The log doesn't answer. A caller that is held until just before its deadline of 3 s has no
     /// time left to try another host, so it must be told earlier that the outcome is unknown.
     void a_caller_is_not_held_while_the_log_is_silent() {
-        begin();
+        start_cell();
         for (std::size_t host = 0; host < 3; ++host)
             world_.host(host)->way_to_log().state = sim_log::way::silent;
-        const auto told = world_.submit(0, "a", short_job(1));
+        const auto reply = world_.submit(0, "a", short_job(1));
         // The host gives up after two append attempts, each with a timeout of 0.8 s.
         world_.time().run_for(milliseconds(1700));
-        CPPUNIT_ASSERT(told->has_value());
-        CPPUNIT_ASSERT(**told == intake_outcome::unknown);
+        CPPUNIT_ASSERT(reply->has_value());
+        CPPUNIT_ASSERT(**reply == intake_outcome::unknown);
         CPPUNIT_ASSERT(!world_.host(0)->member().log_answers());
     }
     /// The log stores a job but its answer is lost. The retried append succeeds: the caller must be
     /// told that the job is accepted, and the job must run once.
     void a_lost_answer_of_the_log_costs_one_more_append() {
-        begin();
+        start_cell();
         world_.host(0)->way_to_log().lost_answers = 1;
-        const auto told = world_.submit(0, "a", short_job(2));
+        const auto reply = world_.submit(0, "a", short_job(2));
         world_.time().run_for(milliseconds(400));
         world_.host(0)->way_to_log().lost_answers = 0;
         world_.time().run_for(milliseconds(700));
-        CPPUNIT_ASSERT(told->has_value());
-        CPPUNIT_ASSERT(**told == intake_outcome::stored);
+        CPPUNIT_ASSERT(reply->has_value());
+        CPPUNIT_ASSERT(**reply == intake_outcome::stored);
         world_.time().run_for(seconds(6));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, world_.watch().starts);
     }
     void members_of_a_gang_start_together() {
-        begin();
+        start_cell();
         step_spec step = cell_world::make_step(6, 1500);
         step.gang = true;
         world_.submit(0, "a", cell_world::make_job({step}));
@@ -394,7 +394,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.watch().starts);
         world_.time().run_for(seconds(6));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("b"));
-        kept_the_rules();
+        assert_invariants();
     }
 };
 
--- a/tests/cell/cell_world.h
+++ b/tests/cell/cell_world.h
@@ -62,7 +62,7 @@
     std::optional<std::size_t> coordinator() const {
         for (std::size_t index = 0; index < hosts_.size(); ++index)
             if (hosts_[index] && hosts_[index]->member().coordinating() != nullptr &&
-                hosts_[index]->member().election().leads())
+                hosts_[index]->member().election().is_leader())
                 return index;
         return std::nullopt;
     }
@@ -71,7 +71,7 @@
     std::optional<std::size_t> acting() const {
         std::optional<std::size_t> newest;
         for (std::size_t index = 0; index < hosts_.size(); ++index) {
-            if (!hosts_[index] || !hosts_[index]->member().election().leads())
+            if (!hosts_[index] || !hosts_[index]->member().election().is_leader())
                 continue;
             if (!newest || epoch_of(index) > epoch_of(*newest))
                 newest = index;
--- a/tests/cell/crowded_test.cpp
+++ b/tests/cell/crowded_test.cpp
@@ -22,23 +22,23 @@
 public:
     /// Guards against urgent work that waits for ever behind tasks that never end.
     void short_tasks_go_before_first_starts_of_lasting_ones() {
-        begin();
-        world_.submit(0, "old", lasting(12));
+        start_cell();
+        world_.submit(0, "old", service_job(12));
         world_.time().run_for(seconds(2));
         world_.submit(0, "held", wide(4, seconds(1)));
         world_.time().run_for(milliseconds(100));
-        world_.submit(0, "new", lasting(4));
+        world_.submit(0, "new", service_job(4));
         world_.submit(0, "short", wide(4, seconds(1)));
         world_.time().run_for(seconds(2));
         CPPUNIT_ASSERT(world_.watch().begun("short.0.0.0"));
         world_.time().run_for(seconds(8));
-        all_run("new", 4);
-        kept_the_rules();
+        assert_all_run("new", 4);
+        assert_invariants();
     }
     /// Guards against jobs that look new to each coordinator and so are never late.
     void jobs_keep_their_age_through_a_change_of_coordinator() {
-        begin();
-        world_.submit(0, "a", lasting(16));
+        start_cell();
+        world_.submit(0, "a", service_job(16));
         world_.time().run_for(seconds(1));
         job_spec job = wide(1, seconds(1));
         job.accepted_at = world_.time().clock().wall_now();
--- a/tests/cell/follower_progress_test.cpp
+++ b/tests/cell/follower_progress_test.cpp
@@ -66,7 +66,7 @@
                                 [](const stored_record&) {});
         run(follower, seconds(120));
         CPPUNIT_ASSERT(follower.is_loaded());
-        CPPUNIT_ASSERT(time_.now() - follower.current_at() < seconds(1));
+        CPPUNIT_ASSERT(time_.now() - follower.current_as_of() < seconds(1));
     }
     /// Guards against a follower that reports that it is up to date although it never receives a
     /// record that exceeds the size of one read.
@@ -87,7 +87,7 @@
         for (int step = 0; step < 300; ++step) {
             follower.tick();
             time_.run_for(milliseconds(10));
-            CPPUNIT_ASSERT(taken == "2" || follower.current_at() <= appended);
+            CPPUNIT_ASSERT(taken == "2" || follower.current_as_of() <= appended);
         }
         CPPUNIT_ASSERT_EQUAL(std::string("2"), taken);
     }
--- a/tests/cell/history_judge.cpp
+++ b/tests/cell/history_checker.cpp
@@ -1,9 +1,9 @@
-#include "tests/cell/history_judge.h"
+#include "tests/cell/history_checker.h"
 
 namespace figwinch::sim {
 
 template <class Check>
-bool history_judge::all_tasks(const std::string& id, const Check& check) {
+bool history_checker::all_tasks(const std::string& id, const Check& check) {
     const job_spec& spec = world_.watch().jobs.at(id).spec;
     for (std::uint32_t step = 0; step < spec.steps.size(); ++step)
         for (std::uint32_t index = 0; index < spec.steps[step].tasks; ++index)
@@ -12,33 +12,33 @@
     return true;
 }
 
-std::string history_judge::judge(const std::set<std::string>& accepted) {
+std::string history_checker::find_violation(const std::set<std::string>& accepted) {
     if (!world_.watch().broken.empty())
         return world_.watch().broken.front();
     for (const std::string& id : accepted)
-        if (std::string fault = judge_job(id); !fault.empty())
+        if (std::string fault = check_job_outcome(id); !fault.empty())
             return fault;
     return "";
 }
 
-std::string history_judge::judge_job(const std::string& id) {
+std::string history_checker::check_job_outcome(const std::string& id) {
     for (std::size_t host = 0; host < world_.hosts(); ++host) {
-        const bool asks = !world_.host(host)->member().has_copy();
-        const std::optional<job_entry> asked = asks ? world_.ask(host, id) : std::nullopt;
-        const job_entry* const job = asked ? &*asked : world_.job(host, id);
+        const bool lacks_copy = !world_.host(host)->member().has_copy();
+        const std::optional<job_entry> answered = lacks_copy ? world_.ask(host, id) : std::nullopt;
+        const job_entry* const job = answered ? &*answered : world_.job(host, id);
         if (job == nullptr || !job->spec)
             return "LOST: job " + id + " is unknown at host " + std::to_string(host);
         const bool open = job->phase == job_phase::open && !job->cancel_wanted;
-        if (open && !all_last(id) && has_room(id))
-            return "STUCK: job " + id + " is open at host " + std::to_string(host) + tell(id);
-        if (job->phase == job_phase::succeeded && !all_ended_well(id))
+        if (open && !all_service_tasks_run(id) && has_room(id))
+            return "STUCK: job " + id + " is open at host " + std::to_string(host) + describe(id);
+        if (job->phase == job_phase::succeeded && !all_succeeded(id))
             return "SHOWN: job " + id + " as succeeded before all its tasks have";
     }
     return "";
 }
 
 /// Whether all steps that a task depends on have succeeded.
-bool history_judge::has_turn(const std::string& task) {
+bool history_checker::is_ready(const std::string& task) {
     const auto name = parse_task_name(task);
     const job_spec& spec = world_.watch().jobs.at(name->job.str()).spec;
     for (const std::uint32_t earlier : spec.steps.at(name->step).after)
@@ -51,10 +51,10 @@
 
 /// Whether a worker has room for a task of the job that is ready and doesn't run. If there is none,
 /// the job isn't stuck: service tasks may occupy all room permanently.
-bool history_judge::has_room(const std::string& id) {
+bool history_checker::has_room(const std::string& id) {
     bool room = false;
     all_tasks(id, [&](const std::string& task) {
-        if (has_turn(task) && !world_.watch().ended_well(task) && !world_.watch().runs(task))
+        if (is_ready(task) && !world_.watch().ended_well(task) && !world_.watch().runs(task))
             room = room || world_.watch().has_room_for(task);
         return true;
     });
@@ -62,33 +62,34 @@
 }
 
 /// Describes each task of a job, with its size and state, and the state of all hosts.
-std::string history_judge::tell(const std::string& id) {
-    std::string story;
+std::string history_checker::describe(const std::string& id) {
+    std::string description;
     const job_spec& spec = world_.watch().jobs.at(id).spec;
     for (std::uint32_t step = 0; step < spec.steps.size(); ++step)
         for (std::uint32_t index = 0; index < spec.steps[step].tasks; ++index) {
             const std::string task = to_string(task_name{job_id(id), 0, step, index});
-            story += "\n " + task + " " + to_string(spec.steps[step].size) +
-                     (spec.steps[step].lasting ? " lasting" : "") +
-                     (world_.watch().ended_well(task) ? " succeeded" : "") +
-                     (world_.watch().runs(task) ? " runs" : "");
-            story += world_.watch().story_of(task);
+            description += "\n " + task + " " + to_string(spec.steps[step].size) +
+                           (spec.steps[step].lasting ? " lasting" : "") +
+                           (world_.watch().ended_well(task) ? " succeeded" : "") +
+                           (world_.watch().runs(task) ? " runs" : "");
+            description += world_.watch().story_of(task);
         }
     for (std::size_t host = 0; host < world_.hosts(); ++host) {
-        const reign& election = world_.host(host)->member().election();
-        story += "\nhost " + std::to_string(host) + (election.leads() ? " is coordinator" : "") +
-                 (election.log_answers() ? "" : " can't reach the log") + ", epoch " +
-                 std::to_string(election.epoch().value());
+        const leader_election& election = world_.host(host)->member().election();
+        description += "\nhost " + std::to_string(host) +
+                       (election.is_leader() ? " is coordinator" : "") +
+                       (election.log_answers() ? "" : " can't reach the log") + ", epoch " +
+                       std::to_string(election.epoch().value());
     }
-    return story + "\n" + world_.watch().rooms();
+    return description + "\n" + world_.watch().rooms();
 }
 
-bool history_judge::all_ended_well(const std::string& id) {
+bool history_checker::all_succeeded(const std::string& id) {
     return all_tasks(id, [this](const auto& task) { return world_.watch().ended_well(task); });
 }
 
 /// Whether all tasks of a service job run; such a job stays open until it is cancelled.
-bool history_judge::all_last(const std::string& id) {
+bool history_checker::all_service_tasks_run(const std::string& id) {
     if (!world_.watch().jobs.at(id).spec.steps.front().lasting)
         return false;
     return all_tasks(id, [this](const auto& task) { return world_.watch().runs(task); });
--- a/tests/cell/history_judge.h
+++ b/tests/cell/history_checker.h
@@ -8,23 +8,23 @@
 namespace figwinch::sim {
 
 /// Checks a history at its end, long after the last fault. Owned by a history.
-class history_judge {
+class history_checker {
 public:
-    explicit history_judge(cell_world& world) : world_(world) {}
+    explicit history_checker(cell_world& world) : world_(world) {}
 
     /// Returns the first violation with a description: an invariant that was violated during the
     /// history, or an accepted job that has not ended. Empty if there is none.
-    std::string judge(const std::set<std::string>& accepted);
+    std::string find_violation(const std::set<std::string>& accepted);
 
 private:
-    std::string judge_job(const std::string& id);
-    bool has_turn(const std::string& task);
+    std::string check_job_outcome(const std::string& id);
+    bool is_ready(const std::string& task);
     bool has_room(const std::string& id);
-    std::string tell(const std::string& id);
+    std::string describe(const std::string& id);
     template <class Check>
     bool all_tasks(const std::string& id, const Check& check);
-    bool all_ended_well(const std::string& id);
-    bool all_last(const std::string& id);
+    bool all_succeeded(const std::string& id);
+    bool all_service_tasks_run(const std::string& id);
 
     cell_world& world_;
 };
--- a/tests/cell/history_faults.cpp
+++ b/tests/cell/history_faults.cpp
@@ -7,45 +7,46 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-void history_faults::plan(std::size_t faults, duration trouble_time, bool beside_dark) {
+void history_faults::schedule_faults(std::size_t faults, duration fault_phase,
+                                     bool restart_faults) {
     static constexpr std::array<fault_kind, 14> kinds = {{
         {"kill_coordinator", &history_faults::kill_coordinator},
         {"kill_all", &history_faults::kill_all},
         {"freeze_host", &history_faults::freeze_host},
         {"cut_from_store", &history_faults::cut_from_store},
-        {"cut_from_fleet", &history_faults::cut_from_fleet},
+        {"cut_from_workers", &history_faults::cut_from_workers},
         {"lose_store", &history_faults::lose_store},
-        {"lose_appends", &history_faults::lose_appends},
-        {"late_orders", &history_faults::late_orders},
+        {"lose_append_answers", &history_faults::lose_append_answers},
+        {"delay_orders", &history_faults::delay_orders},
         {"crash_worker", &history_faults::crash_worker},
         {"cut_worker", &history_faults::cut_worker},
-        {"take_worker", &history_faults::take_worker},
+        {"withdraw_worker", &history_faults::withdraw_worker},
         {"resign_coordinator", &history_faults::resign_coordinator},
-        {"part_coordinator", &history_faults::part_coordinator},
+        {"partition_coordinator", &history_faults::partition_coordinator},
         // Must stay last: recorded seeds draw only from the kinds before it.
-        {"restart_beside_dark", &history_faults::restart_beside_dark},
+        {"restart_with_unreachable_worker", &history_faults::restart_with_unreachable_worker},
     }};
-    const std::size_t drawn_from = beside_dark ? kinds.size() : kinds.size() - 1;
+    const std::size_t drawn_from = restart_faults ? kinds.size() : kinds.size() - 1;
     for (std::size_t index = 0; index < faults; ++index)
-        play_later(kinds[world_.draw() % drawn_from], trouble_time);
+        schedule_fault(kinds[world_.draw() % drawn_from], fault_phase);
 }
 
-void history_faults::plan_links(std::size_t faults, duration trouble_time) {
+void history_faults::schedule_relay_faults(std::size_t faults, duration fault_phase) {
     static constexpr std::array<fault_kind, 5> kinds = {{
-        {"kill_link", &history_faults::kill_link},
-        {"freeze_link", &history_faults::freeze_link},
-        {"cut_link_from_peers", &history_faults::cut_link_from_peers},
-        {"cut_link_from_fleet", &history_faults::cut_link_from_fleet},
-        {"resign_link", &history_faults::resign_link},
+        {"kill_relay", &history_faults::kill_relay},
+        {"freeze_relay", &history_faults::freeze_relay},
+        {"cut_relay_from_peers", &history_faults::cut_relay_from_peers},
+        {"cut_relay_from_workers", &history_faults::cut_relay_from_workers},
+        {"resign_relay", &history_faults::resign_relay},
     }};
     for (std::size_t index = 0; index < faults; ++index)
-        play_later(kinds[world_.draw() % kinds.size()], trouble_time);
+        schedule_fault(kinds[world_.draw() % kinds.size()], fault_phase);
 }
 
-void history_faults::play_later(const fault_kind& kind, duration trouble_time) {
-    world_.time().after(seconds(2) + world_.draw_time(trouble_time - seconds(4)), [this, kind] {
+void history_faults::schedule_fault(const fault_kind& kind, duration fault_phase) {
+    world_.time().after(seconds(2) + world_.draw_time(fault_phase - seconds(4)), [this, kind] {
         world_.watch().note(kind.name);
-        (this->*kind.play)();
+        (this->*kind.inject)();
     });
 }
 
@@ -55,34 +56,34 @@
     return host == world_.coordinator() ? (host + 1) % world_.hosts() : host;
 }
 
-void history_faults::kill_link() {
+void history_faults::kill_relay() {
     kill(draw_other_host());
 }
 
-void history_faults::freeze_link() {
+void history_faults::freeze_relay() {
     const std::size_t host = draw_other_host();
     if (world_.host(host) != nullptr)
-        world_.host(host)->freeze_for(draw_span());
+        world_.host(host)->freeze_for(draw_duration());
 }
 
-void history_faults::cut_link_from_peers() {
+void history_faults::cut_relay_from_peers() {
     const std::size_t host = draw_other_host();
     world_.cut_from_peers(host, true);
-    world_.time().after(draw_span(), [this, host] { world_.cut_from_peers(host, false); });
+    world_.time().after(draw_duration(), [this, host] { world_.cut_from_peers(host, false); });
 }
 
-void history_faults::cut_link_from_fleet() {
+void history_faults::cut_relay_from_workers() {
     const std::size_t host = draw_other_host();
     if (world_.host(host) == nullptr)
         return;
     world_.host(host)->way_to_workers().cut = true;
-    world_.time().after(draw_span(), [=, this] {
+    world_.time().after(draw_duration(), [=, this] {
         if (world_.host(host) != nullptr)
             world_.host(host)->way_to_workers().cut = false;
     });
 }
 
-void history_faults::resign_link() {
+void history_faults::resign_relay() {
     const std::size_t host = draw_other_host();
     if (world_.host(host) == nullptr)
         return;
@@ -90,7 +91,7 @@
     world_.time().after(milliseconds(700), [this, host] { kill(host); });
 }
 
-duration history_faults::draw_span() {
+duration history_faults::draw_duration() {
     return milliseconds(300) + world_.draw_time(seconds(8));
 }
 
@@ -122,7 +123,7 @@
 void history_faults::freeze_host() {
     const std::size_t host = world_.coordinator().value_or(draw_host());
     if (world_.host(host) != nullptr)
-        world_.host(host)->freeze_for(draw_span());
+        world_.host(host)->freeze_for(draw_duration());
 }
 
 void history_faults::set_log(std::size_t host, sim_log::way way) {
@@ -133,23 +134,23 @@
 void history_faults::cut_from_store() {
     const std::size_t host = world_.coordinator().value_or(draw_host());
     set_log(host, world_.draw() % 2 == 0 ? sim_log::way::silent : sim_log::way::refused);
-    world_.time().after(draw_span(), [=, this] { set_log(host, sim_log::way::open); });
+    world_.time().after(draw_duration(), [=, this] { set_log(host, sim_log::way::open); });
 }
 
 /// A network partition: the coordinator's host keeps a random part of the workers, which no other
 /// host reaches, and later also loses the store.
-void history_faults::part_coordinator() {
-    const std::size_t parted = world_.coordinator().value_or(draw_host());
+void history_faults::partition_coordinator() {
+    const std::size_t partitioned = world_.coordinator().value_or(draw_host());
     for (std::size_t index = 0; index < world_.fleet().workers.size(); ++index) {
         const bool kept = world_.draw() % 2 == 0;
         for (std::size_t host = 0; host < world_.hosts(); ++host)
-            if (world_.host(host) != nullptr && kept != (host == parted))
+            if (world_.host(host) != nullptr && kept != (host == partitioned))
                 world_.host(host)->way_to_workers().cut_from.insert("w" + std::to_string(index));
     }
     world_.time().after(world_.draw_time(seconds(4)),
-                        [this, parted] { set_log(parted, sim_log::way::silent); });
-    world_.time().after(seconds(4) + draw_span(), [this, parted] {
-        set_log(parted, sim_log::way::open);
+                        [this, partitioned] { set_log(partitioned, sim_log::way::silent); });
+    world_.time().after(seconds(4) + draw_duration(), [this, partitioned] {
+        set_log(partitioned, sim_log::way::open);
         for (std::size_t host = 0; host < world_.hosts(); ++host)
             if (world_.host(host) != nullptr)
                 world_.host(host)->way_to_workers().cut_from.clear();
@@ -159,7 +160,7 @@
 void history_faults::lose_store() {
     for (std::size_t host = 0; host < world_.hosts(); ++host)
         set_log(host, sim_log::way::refused);
-    world_.time().after(draw_span(), [this] {
+    world_.time().after(draw_duration(), [this] {
         for (std::size_t host = 0; host < world_.hosts(); ++host)
             set_log(host, sim_log::way::open);
         if (world_.draw() % 2 == 0)
@@ -167,38 +168,38 @@
     });
 }
 
-void history_faults::lose_appends() {
-    set_lost_appends(0.4);
-    world_.time().after(draw_span(), [this] { set_lost_appends(0); });
+void history_faults::lose_append_answers() {
+    set_lost_append_answers(0.4);
+    world_.time().after(draw_duration(), [this] { set_lost_append_answers(0); });
 }
 
-void history_faults::set_lost_appends(double share) {
+void history_faults::set_lost_append_answers(double share) {
     for (std::size_t host = 0; host < world_.hosts(); ++host)
         if (world_.host(host) != nullptr)
             world_.host(host)->way_to_log().lost_answers = share;
 }
 
-void history_faults::cut_from_fleet() {
+void history_faults::cut_from_workers() {
     const std::size_t host = world_.coordinator().value_or(draw_host());
     if (world_.host(host) == nullptr)
         return;
     world_.host(host)->way_to_workers().cut = true;
-    world_.time().after(draw_span(), [=, this] {
+    world_.time().after(draw_duration(), [=, this] {
         if (world_.host(host) != nullptr)
             world_.host(host)->way_to_workers().cut = false;
     });
 }
 
-void history_faults::late_orders() {
+void history_faults::delay_orders() {
     world_.fleet().late_orders = 0.1;
     world_.fleet().lost_answers = 0.1;
-    world_.time().after(draw_span(), [this] {
+    world_.time().after(draw_duration(), [this] {
         world_.fleet().late_orders = 0;
         world_.fleet().lost_answers = 0;
     });
 }
 
-void history_faults::cut_for(const std::string& worker, duration span, bool crash) {
+void history_faults::disconnect_worker_for(const std::string& worker, duration span, bool crash) {
     world_.fleet().workers.at(worker).cut = true;
     // The platform unlists a worker after three missed heartbeats.
     world_.time().after(seconds(3), [=, this] {
@@ -216,14 +217,14 @@
 void history_faults::crash_worker() {
     const std::string worker = draw_worker();
     world_.fleet().workers.at(worker).worker->reborn();
-    cut_for(worker, draw_span(), true);
+    disconnect_worker_for(worker, draw_duration(), true);
 }
 
 void history_faults::cut_worker() {
-    cut_for(draw_worker(), draw_span(), world_.draw() % 4 == 0);
+    disconnect_worker_for(draw_worker(), draw_duration(), world_.draw() % 4 == 0);
 }
 
-void history_faults::take_worker() {
+void history_faults::withdraw_worker() {
     const std::string worker = draw_worker();
     world_.list_worker(worker, "leaving");
     world_.time().after(seconds(6), [this, worker] {
@@ -235,18 +236,19 @@
 /// A worker is unreachable for longer than a lease. Then the coordinator's process restarts at
 /// once, and a service task's run fails on a reachable worker: the new term doesn't know what the
 /// unreachable worker runs.
-void history_faults::restart_beside_dark() {
-    cut_for(draw_worker(), seconds(11) + world_.draw_time(seconds(3)), world_.draw() % 2 == 0);
+void history_faults::restart_with_unreachable_worker() {
+    disconnect_worker_for(draw_worker(), seconds(11) + world_.draw_time(seconds(3)),
+                          world_.draw() % 2 == 0);
     world_.time().after(milliseconds(500) + world_.draw_time(seconds(1)), [this] {
         const std::size_t host = world_.coordinator().value_or(draw_host());
         world_.kill_host(host);
         world_.start_host(host);
     });
     world_.time().after(milliseconds(1800) + world_.draw_time(seconds(1)),
-                        [this] { fail_lasting_run(); });
+                        [this] { fail_service_run(); });
 }
 
-void history_faults::fail_lasting_run() {
+void history_faults::fail_service_run() {
     std::vector<std::pair<sim_worker*, std::string>> runs;
     for (const auto& [job, truth] : world_.watch().jobs)
         for (std::uint32_t index = 0; index < truth.spec.steps.front().tasks; ++index)
@@ -261,7 +263,7 @@
     worker->fail_run(task);
 }
 
-void history_faults::calm() {
+void history_faults::end_all() {
     world_.watch().failing = 0;
     world_.fleet().late_orders = 0;
     world_.fleet().lost_answers = 0;
--- a/tests/cell/keyed_follower_test.cpp
+++ b/tests/cell/keyed_follower_test.cpp
@@ -68,24 +68,24 @@
     }
     /// Guards against a new coordinator that starts no task until its first long read has returned.
     void a_load_tells_up_to_when_a_copy_is_current() {
-        const follow_pace long_reads{seconds(5), milliseconds(10)};
+        const follow_options long_reads{seconds(5), milliseconds(10)};
         keyed_follower follower(time_.clock(), log_, cell_stream::operators, long_reads,
                                 [](const stored_record&) {});
         run(follower, milliseconds(100));
-        CPPUNIT_ASSERT(time_.now() - follower.current_at() <= milliseconds(100));
+        CPPUNIT_ASSERT(time_.now() - follower.current_as_of() <= milliseconds(100));
     }
     /// Guards against decisions on a copy that is out of date because reads fail.
     void the_age_of_a_copy_counts_from_the_last_whole_read() {
         keyed_follower follower(time_.clock(), log_, cell_stream::workers, {},
                                 [](const stored_record&) {});
         run(follower, seconds(2));
-        CPPUNIT_ASSERT(time_.now() - follower.current_at() < milliseconds(300));
+        CPPUNIT_ASSERT(time_.now() - follower.current_as_of() < milliseconds(300));
         log_.unreadable = cell_stream::workers;
         run(follower, seconds(2));
-        CPPUNIT_ASSERT(time_.now() - follower.current_at() >= seconds(2));
+        CPPUNIT_ASSERT(time_.now() - follower.current_as_of() >= seconds(2));
         log_.unreadable = std::nullopt;
         run(follower, seconds(2));
-        CPPUNIT_ASSERT(time_.now() - follower.current_at() < milliseconds(300));
+        CPPUNIT_ASSERT(time_.now() - follower.current_as_of() < milliseconds(300));
     }
 };
 
--- a/tests/cell/lasting_recovery_test.cpp
+++ b/tests/cell/lasting_recovery_test.cpp
@@ -23,7 +23,7 @@
         constexpr std::uint32_t tasks = 8;
         std::size_t orders = 0;
         world_.fleet().on_start_sent = [&orders](const auto&, const auto&) { ++orders; };
-        const auto told = world_.submit(0, "a", lasting(tasks));
+        const auto told = world_.submit(0, "a", service_job(tasks));
         run_until([&told] { return told->has_value(); });
         const std::size_t first = *world_.coordinator();
         world_.host(first)->way_to_log().lost_answers = 1;
@@ -32,10 +32,10 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, orders);
         world_.fleet().on_start_sent = nullptr;
         world_.start_host(first);
-        world_.time().run_for(longest_down);
+        world_.time().run_for(max_down_time);
         for (std::uint32_t index = 0; index < tasks; ++index)
             CPPUNIT_ASSERT_MESSAGE(task("a", index), world_.watch().runs(task("a", index)));
-        kept_the_rules();
+        assert_invariants();
     }
 
 public:
@@ -45,8 +45,8 @@
     /// couldn't tell whose the dark worker's runs were and held back every task that it inherited:
     /// `waits_for` said earlier_reign all the while, and the wait ended with that lease.
     void a_task_doesnt_wait_for_a_worker_that_never_had_it() {
-        begin();
-        world_.submit(0, "a", lasting(8));
+        start_cell();
+        world_.submit(0, "a", service_job(8));
         world_.time().run_for(seconds(3));
         world_.fleet().workers.at("w1").cut = true;
         world_.time().run_for(seconds(1));
@@ -57,19 +57,19 @@
         const std::string failing = task_on("w2", "a", 8);
         worker("w2").fail_run(failing);
         CPPUNIT_ASSERT(!world_.watch().runs(failing));
-        world_.time().run_for(longest_down);
+        world_.time().run_for(max_down_time);
         CPPUNIT_ASSERT(world_.watch().runs(failing));
         world_.time().run_for(seconds(12));
         for (std::uint32_t index = 0; index < 8; ++index)
             CPPUNIT_ASSERT(world_.watch().runs(task("a", index)));
-        kept_the_rules();
+        assert_invariants();
     }
     /// Story: a worker goes dark, and the coordinator finds it silent. A lasting job comes, and the
     /// process of the coordinator ends and starts again when the workers of the job's tasks are in
     /// the log, before any order. Tasks that were recorded for the dark worker, which was known to
     /// be silent, had no run until its lease was over.
     void a_task_doesnt_wait_for_a_worker_that_was_silent_before_its_start() {
-        begin();
+        start_cell();
         world_.fleet().workers.at("w1").cut = true;
         run_until([this] {
             const auto row = decode_worker(record(record_kind::worker, "w1"));
@@ -80,7 +80,7 @@
     /// Story: the same, but the worker went dark a moment ago and the coordinator doesn't know yet.
     /// A record without an order looks to the successor like one whose order went out.
     void a_task_doesnt_wait_for_a_worker_that_was_only_recorded() {
-        begin();
+        start_cell();
         world_.fleet().workers.at("w1").cut = true;
         restart_before_the_first_order();
     }
@@ -89,8 +89,8 @@
     /// takes the room. Tasks were started in the order of their jobs' objectives, and that of a
     /// lasting job is soon past.
     void a_task_runs_again_before_new_work_takes_the_room() {
-        begin();
-        world_.submit(0, "a", lasting(4));
+        start_cell();
+        world_.submit(0, "a", service_job(4));
         world_.time().run_for(seconds(2));
         for (int index = 0; index < 30; ++index) {
             step_spec step = cell_world::make_step(8, 500);
@@ -105,17 +105,17 @@
                 entry.worker->fail_run(failing);
             }
         CPPUNIT_ASSERT(!failing.empty());
-        world_.time().run_for(longest_down);
+        world_.time().run_for(max_down_time);
         CPPUNIT_ASSERT(world_.watch().runs(failing));
-        kept_the_rules();
+        assert_invariants();
     }
     /// Story: a worker goes dark, jobs begin on the others, and the process of the coordinator ends
     /// and starts again. Neither their next steps nor jobs that hadn't begun were started for over
     /// 10 s, until the lease of the dark worker was over: nothing told the new reign that none of
     /// their runs could be there.
     void a_short_job_doesnt_wait_for_a_worker_that_never_had_it() {
-        begin();
-        world_.submit(0, "a", lasting(8));
+        start_cell();
+        world_.submit(0, "a", service_job(8));
         world_.time().run_for(seconds(3));
         world_.fleet().workers.at("w1").cut = true;
         world_.time().run_for(seconds(3));
@@ -128,11 +128,11 @@
         world_.time().run_for(milliseconds(5));
         world_.kill_host(first);
         world_.start_host(first);
-        world_.time().run_for(longest_to_start);
+        world_.time().run_for(max_start_delay);
         CPPUNIT_ASSERT(world_.watch().begun("b.0.1.0"));
         CPPUNIT_ASSERT(world_.watch().begun("c.0.0.0"));
         world_.time().run_for(seconds(15));
-        kept_the_rules();
+        assert_invariants();
     }
 };
 
--- a/tests/cell/reign_test.cpp
+++ b/tests/cell/leader_election_test.cpp
@@ -11,18 +11,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class reign_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(reign_test);
+class leader_election_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(leader_election_test);
     CPPUNIT_TEST(one_of_several_leads_at_once_when_nobody_ever_did);
     CPPUNIT_TEST(a_killed_coordinator_is_followed_within_two_and_a_half_seconds);
     CPPUNIT_TEST(a_resignation_is_followed_at_once);
     CPPUNIT_TEST(epochs_grow);
     CPPUNIT_TEST(a_coordinator_cut_off_from_the_log_gives_up_before_its_successor_may_rely_on_it);
-    CPPUNIT_TEST(a_renewal_whose_answer_was_lost_carries_the_reign_on);
+    CPPUNIT_TEST(a_renewal_whose_answer_was_lost_continues_the_term);
     CPPUNIT_TEST(a_host_cut_off_from_the_log_claims_nothing);
     CPPUNIT_TEST(a_coordinator_that_starts_again_leads_at_once);
-    CPPUNIT_TEST(a_coordinator_that_sat_out_a_silence_leads_again_at_once);
-    CPPUNIT_TEST(a_strong_host_is_let_go_first);
+    CPPUNIT_TEST(a_coordinator_leads_again_at_once_after_a_log_outage);
+    CPPUNIT_TEST(a_host_with_more_cpu_claims_first);
     CPPUNIT_TEST(unreadable_records_of_others_are_passed_over);
     CPPUNIT_TEST_SUITE_END();
 
@@ -38,12 +38,12 @@
     std::size_t leaders() const {
         std::size_t count = 0;
         for (const auto& host : hosts_)
-            count += host && host->election.leads() ? 1 : 0;
+            count += host && host->election.is_leader() ? 1 : 0;
         return count;
     }
     std::size_t leader() const {
         for (std::size_t index = 0; index < hosts_.size(); ++index)
-            if (hosts_[index] && hosts_[index]->election.leads())
+            if (hosts_[index] && hosts_[index]->election.is_leader())
                 return index;
         CPPUNIT_FAIL("no host is coordinator");
         return 0;
@@ -64,7 +64,7 @@
         hosts_[leader()].reset();
         time_.run_for(milliseconds(2400));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leaders());
-        CPPUNIT_ASSERT(!hosts_[leader()]->election.follows_resignation());
+        CPPUNIT_ASSERT(!hosts_[leader()]->election.predecessor_has_ended());
     }
     void a_resignation_is_followed_at_once() {
         start(3);
@@ -74,19 +74,19 @@
         time_.run_for(milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leaders());
         CPPUNIT_ASSERT(leader() != first);
-        CPPUNIT_ASSERT(hosts_[leader()]->election.follows_resignation());
+        CPPUNIT_ASSERT(hosts_[leader()]->election.predecessor_has_ended());
     }
     void epochs_grow() {
         start(3);
         std::uint64_t last = 0;
-        for (int reign = 0; reign < 5; ++reign) {
+        for (int term = 0; term < 5; ++term) {
             time_.run_for(seconds(5));
             const std::size_t now = leader();
             CPPUNIT_ASSERT(hosts_[now]->election.epoch().value() > last);
             last = hosts_[now]->election.epoch().value();
             hosts_[now].reset();
             hosts_[now] =
-                std::make_unique<candidate>(time_, store_, "again" + std::to_string(reign));
+                std::make_unique<candidate>(time_, store_, "again" + std::to_string(term));
         }
     }
     /// The coordinator loses the log while other hosts don't. It continues for a limited time,
@@ -99,14 +99,14 @@
         hosts_[first]->log.state = sim_log::way::silent;
         time_.run_for(seconds(3));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, leaders());
-        CPPUNIT_ASSERT(!hosts_[first]->election.is_fresh());
+        CPPUNIT_ASSERT(!hosts_[first]->election.is_confirmed());
         time_.run_for(silence_limit);
-        CPPUNIT_ASSERT(!hosts_[first]->election.leads());
+        CPPUNIT_ASSERT(!hosts_[first]->election.is_leader());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, leaders());
     }
     /// A renewal is stored but its answer is lost. The next renewal finds that the stream's end has
     /// moved; the host must recognise its own record and stay coordinator.
-    void a_renewal_whose_answer_was_lost_carries_the_reign_on() {
+    void a_renewal_whose_answer_was_lost_continues_the_term() {
         start(1);
         time_.run_for(seconds(2));
         const std::uint64_t epoch = hosts_[0]->election.epoch().value();
@@ -114,7 +114,7 @@
         time_.run_for(milliseconds(900));
         hosts_[0]->log.lost_answers = 0;
         time_.run_for(seconds(3));
-        CPPUNIT_ASSERT(hosts_[0]->election.is_fresh());
+        CPPUNIT_ASSERT(hosts_[0]->election.is_confirmed());
         CPPUNIT_ASSERT_EQUAL(epoch, hosts_[0]->election.epoch().value());
     }
     void a_host_cut_off_from_the_log_claims_nothing() {
@@ -141,12 +141,12 @@
                 std::make_unique<candidate>(time_, store_, "h" + std::to_string(index) + "#2");
         time_.run_for(milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(first, leader());
-        CPPUNIT_ASSERT(hosts_[first]->election.follows_resignation());
+        CPPUNIT_ASSERT(hosts_[first]->election.predecessor_has_ended());
     }
     /// The log is unavailable to all hosts for longer than a coordinator may act without it. When
     /// it is back, the previous coordinator must claim at once, since it knows that its term has
     /// expired; other hosts would first wait for renewals that never come.
-    void a_coordinator_that_sat_out_a_silence_leads_again_at_once() {
+    void a_coordinator_leads_again_at_once_after_a_log_outage() {
         start(3);
         time_.run_for(seconds(2));
         for (const auto& host : hosts_)
@@ -162,10 +162,10 @@
     /// On a host with an eighth of a core the coordinator of a large cell falls behind, reads
     /// answers after their timeouts and no longer handles cancellations. Hosts with more CPU must
     /// claim first.
-    void a_strong_host_is_let_go_first() {
+    void a_host_with_more_cpu_claims_first() {
         for (const double share : {0.12, 0.2, 0.5, 0.12})
             hosts_.push_back(std::make_unique<candidate>(
-                time_, store_, "h" + std::to_string(hosts_.size()), modesty_of(share)));
+                time_, store_, "h" + std::to_string(hosts_.size()), claim_delay_for(share)));
         time_.run_for(seconds(2));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, leader());
         hosts_[2].reset();
@@ -186,7 +186,7 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(reign_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(leader_election_test);
 
 } // namespace
 } // namespace figwinch::sim
--- a/tests/cell/reign_readiness_test.cpp
+++ b/tests/cell/leader_readiness_test.cpp
@@ -11,10 +11,10 @@
 
 /// Guards against a host that stays coordinator without being able to schedule. Renewals are small
 /// and pass links on which nothing else arrives in time.
-class reign_readiness_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(reign_readiness_test);
+class leader_readiness_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(leader_readiness_test);
     CPPUNIT_TEST(a_host_that_is_still_loading_doesnt_keep_others_from_coordinating);
-    CPPUNIT_TEST(a_coordinator_whose_view_stays_old_makes_way);
+    CPPUNIT_TEST(a_coordinator_whose_view_stays_old_steps_down);
     CPPUNIT_TEST_SUITE_END();
 
     cell_world world_{7, 3, 4};
@@ -23,7 +23,7 @@
         const job_entry* const job = world_.job(host, id);
         return job == nullptr ? "unknown" : to_string(job->phase);
     }
-    void kept_the_rules() {
+    void assert_invariants() {
         if (!world_.watch().broken.empty())
             CPPUNIT_FAIL(world_.watch().broken.front());
     }
@@ -45,11 +45,11 @@
         world_.time().run_for(seconds(10));
         CPPUNIT_ASSERT(world_.coordinator().has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase(1, "a"));
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against a coordinator that must not start tasks, because its link is too slow to
     /// follow the workers' notices, and doesn't step down.
-    void a_coordinator_whose_view_stays_old_makes_way() {
+    void a_coordinator_whose_view_stays_old_steps_down() {
         world_.watch().failing = 0;
         world_.time().run_for(seconds(2));
         const std::size_t first = *world_.coordinator();
@@ -59,11 +59,11 @@
         world_.submit(other, "a", cell_world::make_job({cell_world::make_step(3, 500)}));
         world_.time().run_for(seconds(15));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase(other, "a"));
-        kept_the_rules();
+        assert_invariants();
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(reign_readiness_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(leader_readiness_test);
 
 } // namespace
 } // namespace figwinch::sim
--- a/tests/cell/linked_loss_test.cpp
+++ b/tests/cell/linked_loss_test.cpp
@@ -21,10 +21,10 @@
     /// The worker of a start that is passed on is lost, and `then` follows.
     template <class Then>
     void lose_worker_at_a_start(const Then& then) {
-        begin();
-        world_.submit(0, "a", lasting(tasks));
+        start_cell();
+        world_.submit(0, "a", service_job(tasks));
         world_.time().run_for(seconds(15));
-        all_run("a", tasks);
+        assert_all_run("a", tasks);
         std::string from;
         for (const auto& [name, entry] : world_.fleet().workers)
             if (entry.worker->running() > 0)
@@ -35,14 +35,14 @@
         world_.fleet().on_start_sent = [&](const std::string& to, const std::string& started) {
             if (started != failing || std::exchange(lost, true))
                 return;
-            lose(to);
+            lose_worker(to);
             world_.time().after(duration::zero(), then);
         };
         worker(from).fail_run(failing);
         run_until([&] { return lost; });
-        world_.time().run_for(longest_after_loss);
-        all_run("a", tasks);
-        kept_the_rules();
+        world_.time().run_for(max_down_time_after_loss);
+        assert_all_run("a", tasks);
+        assert_invariants();
     }
 
 public:
--- a/tests/cell/new_life_test.cpp
+++ b/tests/cell/new_life_test.cpp
@@ -22,8 +22,8 @@
     /// Guards against a bound on the clock of a worker's earlier life that is held against the
     /// clock of a later one.
     void a_start_of_an_earlier_life_isnt_waited_for_by_its_clock() {
-        begin();
-        world_.submit(0, "a", lasting(8));
+        start_cell();
+        world_.submit(0, "a", service_job(8));
         world_.time().run_for(seconds(60));
         const std::string failing = task_on("w0", "a", 8);
         std::string to_worker;
@@ -40,47 +40,47 @@
         world_.time().run_for(milliseconds(800));
         world_.fleet().workers.at(to_worker).cut = false;
         world_.time().run_for(milliseconds(900));
-        lose(to_worker);
+        lose_worker(to_worker);
         world_.time().run_for(longest_grant);
-        all_run("a", 8);
-        kept_the_rules();
+        assert_all_run("a", 8);
+        assert_invariants();
     }
     /// Guards against a new worker's tasks that are waited for as if a coordinator before had held
     /// it for the longest lease.
     void tasks_of_a_new_worker_run_again_within_its_lease() {
-        begin();
+        start_cell();
         world_.fleet().is_kept = [](run_number) { return true; };
         world_.add_worker("w4");
         world_.time().run_for(milliseconds(300));
-        world_.submit(0, "a", lasting(12));
+        world_.submit(0, "a", service_job(12));
         run_until([&] { return worker("w4").running() > 0; });
         world_.time().run_for(milliseconds(300));
-        lose("w4");
-        world_.time().run_for(longest_after_loss);
-        all_run("a", 12);
-        kept_the_rules();
+        lose_worker("w4");
+        world_.time().run_for(max_down_time_after_loss);
+        assert_all_run("a", 12);
+        assert_invariants();
     }
     /// Guards against tasks that wait for the longest lease of a worker that began another life
     /// under a coordinator that has outlived all that those before it started.
     void tasks_of_a_worker_that_began_anew_run_again_within_its_lease() {
-        begin();
+        start_cell();
         world_.kill_host(*world_.coordinator());
-        world_.submit(1, "a", lasting(8));
+        world_.submit(1, "a", service_job(8));
         world_.time().run_for(seconds(20));
         world_.fleet().is_kept = [](run_number) { return true; };
         worker("w1").reborn();
         world_.time().run_for(seconds(1));
         CPPUNIT_ASSERT(worker("w1").running() > 0);
-        lose("w1");
-        world_.time().run_for(longest_after_loss);
-        all_run("a", 8);
-        kept_the_rules();
+        lose_worker("w1");
+        world_.time().run_for(max_down_time_after_loss);
+        assert_all_run("a", 8);
+        assert_invariants();
     }
     /// Guards against tasks of a worker that crashed, and is listed with another life but out of
     /// reach, which wait for the longest lease after a change of coordinator.
     void tasks_of_a_worker_that_began_anew_out_of_reach_dont_wait_for_the_longest_lease() {
-        begin();
-        world_.submit(0, "a", lasting(8));
+        start_cell();
+        world_.submit(0, "a", service_job(8));
         world_.time().run_for(seconds(20));
         sim_fleet::entry& lost = world_.fleet().workers.at("w1");
         lost.cut = true;
@@ -91,9 +91,9 @@
         const std::size_t first = *world_.coordinator();
         world_.kill_host(first);
         world_.start_host(first);
-        world_.time().run_for(longest_after_loss - seconds(1));
-        all_run("a", 8);
-        kept_the_rules();
+        world_.time().run_for(max_down_time_after_loss - seconds(1));
+        assert_all_run("a", 8);
+        assert_invariants();
     }
 };
 
--- a/tests/cell/placement_rules_test.cpp
+++ b/tests/cell/placement_rules_test.cpp
@@ -30,7 +30,7 @@
             if (index++ % 2 == 0)
                 entry.listing.labels = {"wide"};
         }
-        begin();
+        start_cell();
     }
     static step_spec lasting_step(std::uint32_t tasks, std::int64_t cpu_millis) {
         step_spec step = cell_world::make_step(tasks, cpu_millis);
@@ -71,10 +71,10 @@
         const std::set<std::string> labelled = {"w0", "w2"};
         for (const std::string& name : workers_of("a", 4))
             CPPUNIT_ASSERT(labelled.contains(name));
-        lose("w0");
-        world_.time().run_for(longest_after_loss);
+        lose_worker("w0");
+        world_.time().run_for(max_down_time_after_loss);
         CPPUNIT_ASSERT((workers_of("a", 4) == std::vector<std::string>(4, "w2")));
-        kept_the_rules();
+        assert_invariants();
     }
     void tasks_with_a_label_wait_when_no_worker_has_it() {
         place_workers();
@@ -92,10 +92,10 @@
         step.most_per_worker = 1;
         submit("a", step);
         CPPUNIT_ASSERT((workers_of("a", 6) == std::vector<std::string>{"w0", "w1", "w2", "w3"}));
-        lose("w1");
-        world_.time().run_for(longest_after_loss);
+        lose_worker("w1");
+        world_.time().run_for(max_down_time_after_loss);
         CPPUNIT_ASSERT((workers_of("a", 6) == std::vector<std::string>{"w0", "w2", "w3"}));
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against a successor that doesn't count the runs it has found.
     void tasks_of_a_step_keep_apart_through_a_change_of_coordinator() {
@@ -105,7 +105,7 @@
         submit("a", step);
         change_coordinator();
         CPPUNIT_ASSERT((workers_of("a", 6) == std::vector<std::string>{"w0", "w1", "w2", "w3"}));
-        kept_the_rules();
+        assert_invariants();
     }
     void tasks_run_near_their_data() {
         place_workers();
@@ -121,8 +121,8 @@
         step_spec step = lasting_step(12, 1000);
         step.near_rack = rack_id("r1");
         submit("a", step);
-        all_run("a", 12);
-        kept_the_rules();
+        assert_all_run("a", 12);
+        assert_invariants();
     }
     /// Guards against a gang that works at a fraction of its speed because it is on two racks.
     void a_gang_stays_on_one_rack() {
@@ -131,11 +131,11 @@
         step.gang = step.one_rack = true;
         submit("a", step);
         submit("b", step);
-        all_run("a", 7);
-        all_run("b", 7);
+        assert_all_run("a", 7);
+        assert_all_run("b", 7);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, racks_of("a", 7).size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, racks_of("b", 7).size());
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against members of a gang on the rack that it had before.
     void a_gang_moves_to_the_other_rack_as_a_whole() {
@@ -144,16 +144,16 @@
         step.gang = step.one_rack = true;
         submit("a", step);
         const std::string before = *racks_of("a", 7).begin();
-        lose(before == "r0" ? "w1" : "w3");
+        lose_worker(before == "r0" ? "w1" : "w3");
         // The members beside it end with those that are lost.
         sim_worker& left = worker(before == "r0" ? "w0" : "w2");
         for (std::uint32_t index = 0; index < 7; ++index)
             if (left.has(task("a", index)))
                 left.end_run(task("a", index), run_end::broken);
-        world_.time().run_for(longest_after_loss);
-        all_run("a", 7);
+        world_.time().run_for(max_down_time_after_loss);
+        assert_all_run("a", 7);
         CPPUNIT_ASSERT((racks_of("a", 7) == std::set<std::string>{before == "r0" ? "r1" : "r0"}));
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against members that wait for others for which there is no room.
     void a_gang_doesnt_start_in_part() {
--- a/tests/cell/progress_writer_test.cpp
+++ b/tests/cell/progress_writer_test.cpp
@@ -24,10 +24,10 @@
     sim_store store_;
     sim_log log_{time_, store_, [] { return 0.5; }};
     std::vector<std::string> applied_;
-    bool deposed_ = false;
+    bool superseded_ = false;
     progress_writer writer_{time_.clock(), log_, lease_epoch(3),
                             [this](const stored_record& record) { applied_.push_back(record.key); },
-                            [this] { deposed_ = true; }};
+                            [this] { superseded_ = true; }};
 
     void run_for(duration span) {
         for (duration passed{}; passed < span; passed += milliseconds(5)) {
@@ -95,7 +95,7 @@
         CPPUNIT_ASSERT(fenced);
         writer_.write({"p2", "v", 0});
         run_for(milliseconds(200));
-        CPPUNIT_ASSERT(deposed_);
+        CPPUNIT_ASSERT(superseded_);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stored());
     }
     void a_barrier_waits_for_all_that_was_written() {
--- a/tests/cell/reading_load_test.cpp
+++ b/tests/cell/reading_load_test.cpp
@@ -29,22 +29,22 @@
 
     cell_world world_{5, hosts, workers, {}, true, strong};
     int jobs_ = 0;
-    std::vector<std::shared_ptr<std::optional<intake_outcome>>> told_;
+    std::vector<std::shared_ptr<std::optional<intake_outcome>>> outcomes_;
 
     /// Submits a job of twelve tasks every 50 ms, each through another host.
-    void keep_coming() {
+    void submit_continuously() {
         if (world_.host(static_cast<std::size_t>(jobs_) % hosts) != nullptr)
-            told_.push_back(world_.submit(static_cast<std::size_t>(jobs_) % hosts,
-                                          absl::StrCat("job", jobs_),
-                                          cell_world::make_job({cell_world::make_step(12, 100)})));
+            outcomes_.push_back(
+                world_.submit(static_cast<std::size_t>(jobs_) % hosts, absl::StrCat("job", jobs_),
+                              cell_world::make_job({cell_world::make_step(12, 100)})));
         ++jobs_;
-        world_.time().after(milliseconds(50), [this] { keep_coming(); });
+        world_.time().after(milliseconds(50), [this] { submit_continuously(); });
     }
-    void begin() {
+    void start_cell() {
         world_.watch().failing = 0;
         world_.store().read_rate = read_rate;
         world_.time().run_for(seconds(3));
-        keep_coming();
+        submit_continuously();
         world_.time().run_for(seconds(5));
     }
     std::size_t hosts_without(std::uint64_t version) {
@@ -62,11 +62,11 @@
     }
     std::size_t not_stored() {
         std::size_t count = 0;
-        for (const auto& told : told_)
-            count += told->has_value() && **told != intake_outcome::stored ? 1 : 0;
+        for (const auto& reply : outcomes_)
+            count += reply->has_value() && **reply != intake_outcome::stored ? 1 : 0;
         return count;
     }
-    void kept_the_rules() {
+    void assert_invariants() {
         if (!world_.watch().broken.empty())
             CPPUNIT_FAIL(world_.watch().broken.front());
     }
@@ -75,16 +75,16 @@
     /// Guards against hosts that all follow the whole log: together they exceed its bandwidth, time
     /// out and read again, which delays configurations and jobs as well.
     void reads_of_many_hosts_dont_collapse() {
-        begin();
+        start_cell();
         for (const std::uint64_t version : {2U, 3U, 4U})
             config_is_in_force_everywhere(version);
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, not_stored());
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against hosts that, after a restart of all, delay each other's loads by reading at
     /// the same time.
     void many_hosts_serve_soon_after_a_restart_of_all() {
-        begin();
+        start_cell();
         for (std::size_t host = 0; host < hosts; ++host)
             world_.kill_host(host);
         world_.time().run_for(seconds(1));
@@ -93,10 +93,10 @@
         world_.time().run_for(seconds(3));
         CPPUNIT_ASSERT(world_.coordinator().has_value());
         config_is_in_force_everywhere(2);
-        told_.clear();
+        outcomes_.clear();
         world_.time().run_for(seconds(3));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, not_stored());
-        kept_the_rules();
+        assert_invariants();
     }
 };
 
--- a/tests/cell/records_test.cpp
+++ b/tests/cell/records_test.cpp
@@ -114,7 +114,7 @@
                 CPPUNIT_ASSERT(check_job(*job).ok());
             decode_progress(bytes);
             decode_worker(bytes);
-            decode_reign(bytes);
+            decode_election_record(bytes);
         }
     }
     void names_of_tasks_are_read_back() {
@@ -186,7 +186,7 @@
         state.apply(cell_stream::intake, {"zz", "y", 3});
         state.apply(cell_stream::progress, {"pa", "\xff\xff", 4});
         state.apply(cell_stream::progress, {"wa", "\xff\xff", 5});
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.unreadable());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, state.unreadable_records());
         CPPUNIT_ASSERT(state.find(job_id("a")) == nullptr || !state.find(job_id("a"))->spec);
     }
     /// The log drops its history while a host can't reach it. When the host loads again, keys that
--- a/tests/cell/recovery_fixture.h
+++ b/tests/cell/recovery_fixture.h
@@ -9,13 +9,13 @@
 namespace figwinch::sim {
 
 /// A service task must run again within this time of the end of its last run, if there is room.
-constexpr duration longest_down = std::chrono::seconds(6);
+constexpr duration max_down_time = std::chrono::seconds(6);
 /// A service task on a lost worker must run again within this time, which includes detecting that
 /// the worker is unresponsive.
-constexpr duration longest_after_loss = std::chrono::seconds(9);
+constexpr duration max_down_time_after_loss = std::chrono::seconds(9);
 /// Tasks of short jobs must start within this time, however long the lease of an unreachable worker
 /// is.
-constexpr duration longest_to_start = std::chrono::milliseconds(4900);
+constexpr duration max_start_delay = std::chrono::milliseconds(4900);
 
 /// A cell of three hosts and four workers that grant leases of 10 s, to test how soon service tasks
 /// run again after faults.
@@ -28,7 +28,7 @@
 
     cell_world world_;
 
-    static job_spec lasting(std::uint32_t tasks) {
+    static job_spec service_job(std::uint32_t tasks) {
         step_spec step = cell_world::make_step(tasks, 1000);
         step.lasting = true;
         return cell_world::make_job({step});
@@ -37,7 +37,7 @@
         return job + ".0.0." + std::to_string(index);
     }
     sim_worker& worker(const std::string& name) { return *world_.fleet().workers.at(name).worker; }
-    void begin() {
+    void start_cell() {
         world_.watch().failing = 0;
         world_.time().run_for(std::chrono::seconds(2));
     }
@@ -59,23 +59,23 @@
     template <class Check>
     void run_until(const Check& check) {
         constexpr duration step = std::chrono::milliseconds(2);
-        constexpr int most_steps = 1000;
-        for (int steps = 0; steps < most_steps && !check(); ++steps)
+        constexpr int max_steps = 1000;
+        for (int steps = 0; steps < max_steps && !check(); ++steps)
             world_.time().run_for(step);
         CPPUNIT_ASSERT(check());
     }
     /// Loses a worker for good: it becomes unreachable, its runs end, and the platform unlists it 3
     /// s later.
-    void lose(const std::string& name) {
+    void lose_worker(const std::string& name) {
         world_.fleet().workers.at(name).cut = true;
         worker(name).reborn();
         world_.time().after(std::chrono::seconds(3), [this, name] { world_.unlist_worker(name); });
     }
-    void all_run(const std::string& job, std::uint32_t tasks) {
+    void assert_all_run(const std::string& job, std::uint32_t tasks) {
         for (std::uint32_t index = 0; index < tasks; ++index)
             CPPUNIT_ASSERT(world_.watch().runs(task(job, index)));
     }
-    void kept_the_rules() {
+    void assert_invariants() {
         if (!world_.watch().broken.empty())
             CPPUNIT_FAIL(world_.watch().broken.front());
     }
--- a/tests/cell/repeats_test.cpp
+++ b/tests/cell/repeats_test.cpp
@@ -46,7 +46,7 @@
 public:
     /// Guards against occurrences before their time, and against ones that wait for the next look.
     void occurrences_start_when_they_are_due() {
-        begin();
+        start_cell();
         world_.submit(0, "a", repeated(3, {cell_world::make_step(2, 500)}));
         for (std::uint32_t number = 0; number < 3; ++number) {
             const std::int64_t due_ms = first_after_ms + number * interval_ms;
@@ -57,11 +57,11 @@
         }
         world_.time().run_for(seconds(3));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.watch().starts);
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against an occurrence that waits for the one before.
     void occurrences_overlap() {
-        begin();
+        start_cell();
         step_spec step = cell_world::make_step(1, 500);
         step.filling = true;
         world_.watch().filling_length = seconds(10);
@@ -69,11 +69,11 @@
         run_to(first_after_ms + 2 * interval_ms + late_ms);
         for (std::uint32_t number = 0; number < 3; ++number)
             CPPUNIT_ASSERT(world_.watch().runs(task_of(number, 0, 0)));
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against a successor that counts occurrences from the beginning or forgets some.
     void occurrences_go_on_after_a_change_of_coordinator() {
-        begin();
+        start_cell();
         world_.submit(0, "a", repeated(5, {cell_world::make_step(2, 500)}));
         run_to(first_after_ms + interval_ms + late_ms);
         world_.kill_host(*world_.coordinator());
@@ -82,11 +82,11 @@
             for (std::uint32_t index = 0; index < 2; ++index)
                 CPPUNIT_ASSERT(world_.watch().ended_well(task_of(number, 0, index)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, world_.watch().starts);
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against occurrences that were due while all hosts were away and are left out.
     void occurrences_that_were_missed_run_once_each() {
-        begin();
+        start_cell();
         world_.submit(0, "a", repeated(3, {cell_world::make_step(1, 500)}));
         run_to(first_after_ms - 1000);
         for (std::size_t host = 0; host < world_.hosts(); ++host)
@@ -98,11 +98,11 @@
         for (std::uint32_t number = 0; number < 3; ++number)
             CPPUNIT_ASSERT(world_.watch().ended_well(task_of(number, 0, 0)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, world_.watch().starts);
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against a step that takes another occurrence's end for its own.
     void steps_of_an_occurrence_keep_their_order() {
-        begin();
+        start_cell();
         step_spec second = cell_world::make_step(2, 500);
         second.after = {0};
         world_.watch().long_tasks = true;
@@ -111,16 +111,16 @@
         for (std::uint32_t number = 0; number < 4; ++number)
             CPPUNIT_ASSERT(world_.watch().ended_well(task_of(number, 1, 1)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, world_.watch().starts);
-        kept_the_rules();
+        assert_invariants();
     }
     void no_occurrence_starts_after_a_cancellation() {
-        begin();
+        start_cell();
         world_.submit(0, "a", repeated(5, {cell_world::make_step(1, 500)}));
         run_to(first_after_ms + late_ms);
         world_.cancel(0, "a");
         run_to(first_after_ms + 6 * interval_ms);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world_.watch().starts);
-        kept_the_rules();
+        assert_invariants();
     }
 };
 
--- a/tests/cell/resignation_test.cpp
+++ b/tests/cell/resignation_test.cpp
@@ -17,8 +17,8 @@
 /// Enough for the calls of the resigning host, the successor's read of the resignation and its
 /// claim.
 constexpr duration at_once = milliseconds(100);
-constexpr duration renewal_period = reign_times{}.renew_every;
-constexpr duration retry_period = reign_times{}.retry_after;
+constexpr duration renewal_period = election_timing{}.renewal_interval;
+constexpr duration retry_period = election_timing{}.retry_delay;
 
 std::string text_of(duration phase) {
     return std::to_string(std::chrono::duration_cast<milliseconds>(phase).count()) + " ms";
@@ -29,19 +29,19 @@
 public:
     explicit cell_of_candidates(duration call_time = milliseconds(4)) : call_time_(call_time) {}
 
-    candidate& add(duration modesty = {}) {
-        hosts_.push_back(
-            std::make_unique<candidate>(time, store, "h" + std::to_string(hosts_.size()), modesty));
+    candidate& add(duration claim_delay = {}) {
+        hosts_.push_back(std::make_unique<candidate>(
+            time, store, "h" + std::to_string(hosts_.size()), claim_delay));
         hosts_.back()->log.delay = call_time_;
         return *hosts_.back();
     }
     /// The number of records of a kind from an offset on.
-    long count(reign_record::kind what, std::uint64_t from = 0) {
-        return std::ranges::count_if(store.of(cell_stream::reigns).records,
-                                     [&](const stored_record& record) {
-                                         const auto read = decode_reign(record.value.value_or(""));
-                                         return record.offset >= from && read && read->what == what;
-                                     });
+    long count(election_record::kind type, std::uint64_t from = 0) {
+        return std::ranges::count_if(
+            store.of(cell_stream::reigns).records, [&](const stored_record& record) {
+                const auto read = decode_election_record(record.value.value_or(""));
+                return record.offset >= from && read && read->type == type;
+            });
     }
     std::uint64_t end() { return store.of(cell_stream::reigns).end(); }
 
@@ -65,7 +65,7 @@
     CPPUNIT_TEST(a_host_that_resigns_while_it_claims_is_followed_at_once);
     CPPUNIT_TEST(a_host_that_resigns_with_its_claim_in_doubt_is_followed_before_it_is_missed);
     CPPUNIT_TEST(a_resignation_whose_answer_was_lost_is_written_once);
-    CPPUNIT_TEST(a_late_resignation_ends_nobody_elses_reign);
+    CPPUNIT_TEST(a_late_resignation_ends_nobody_elses_term);
     CPPUNIT_TEST(a_host_that_has_resigned_orders_nothing_while_it_tries);
     CPPUNIT_TEST_SUITE_END();
 
@@ -77,16 +77,16 @@
         cell.time.run_for(seconds(1));
         candidate& second = cell.add();
         cell.time.run_for(seconds(2));
-        CPPUNIT_ASSERT(first.election.leads());
+        CPPUNIT_ASSERT(first.election.is_leader());
         first.log.state = state;
         first.election.resign();
         cell.time.run_for(retry_period / 3);
         first.log.state = sim_log::way::open;
         cell.time.run_for(retry_period + at_once);
-        CPPUNIT_ASSERT(!first.election.leads());
-        CPPUNIT_ASSERT(second.election.leads());
-        CPPUNIT_ASSERT(second.election.follows_resignation());
-        CPPUNIT_ASSERT_EQUAL(1L, cell.count(reign_record::kind::resignation));
+        CPPUNIT_ASSERT(!first.election.is_leader());
+        CPPUNIT_ASSERT(second.election.is_leader());
+        CPPUNIT_ASSERT(second.election.predecessor_has_ended());
+        CPPUNIT_ASSERT_EQUAL(1L, cell.count(election_record::kind::resignation));
     }
 
 public:
@@ -98,14 +98,14 @@
             cell.time.run_for(seconds(1));
             candidate& second = cell.add();
             cell.time.run_for(seconds(2) + phase);
-            CPPUNIT_ASSERT(first.election.leads());
+            CPPUNIT_ASSERT(first.election.is_leader());
             const std::uint64_t resigned_at = cell.end();
             first.election.resign();
             cell.time.run_for(at_once);
-            raced += cell.count(reign_record::kind::renewal, resigned_at);
-            CPPUNIT_ASSERT(!first.election.leads());
-            CPPUNIT_ASSERT_MESSAGE(text_of(phase), second.election.leads());
-            CPPUNIT_ASSERT_MESSAGE(text_of(phase), second.election.follows_resignation());
+            raced += cell.count(election_record::kind::renewal, resigned_at);
+            CPPUNIT_ASSERT(!first.election.is_leader());
+            CPPUNIT_ASSERT_MESSAGE(text_of(phase), second.election.is_leader());
+            CPPUNIT_ASSERT_MESSAGE(text_of(phase), second.election.predecessor_has_ended());
         }
         // Guards against a test in which no renewal was in flight at any of the resignations.
         CPPUNIT_ASSERT(raced > 0);
@@ -119,27 +119,27 @@
     /// The host that has just claimed is the next to be restarted. Its claim is stored after it has
     /// resigned, so that the log shows a term without a coordinator.
     void a_host_that_resigns_while_it_claims_is_followed_at_once() {
-        constexpr duration modesty = milliseconds(300);
+        constexpr duration claim_delay = milliseconds(300);
         long raced = 0;
         for (duration phase{}; phase < milliseconds(60); phase += milliseconds(2)) {
             cell_of_candidates cell(milliseconds(10));
             candidate& first = cell.add();
             cell.time.run_for(seconds(1));
             candidate& second = cell.add();
-            candidate& third = cell.add(modesty);
+            candidate& third = cell.add(claim_delay);
             cell.time.run_for(seconds(2));
-            CPPUNIT_ASSERT(first.election.leads());
+            CPPUNIT_ASSERT(first.election.is_leader());
             first.election.resign();
             cell.time.run_for(phase);
-            const bool led = second.election.leads();
+            const bool led = second.election.is_leader();
             const std::uint64_t resigned_at = cell.end();
             second.election.resign();
-            cell.time.run_for(modesty + 2 * at_once);
+            cell.time.run_for(claim_delay + 2 * at_once);
             if (!led)
-                raced += cell.count(reign_record::kind::claim, resigned_at) - 1;
-            CPPUNIT_ASSERT(!second.election.leads());
-            CPPUNIT_ASSERT_MESSAGE(text_of(phase), third.election.leads());
-            CPPUNIT_ASSERT_MESSAGE(text_of(phase), third.election.follows_resignation());
+                raced += cell.count(election_record::kind::claim, resigned_at) - 1;
+            CPPUNIT_ASSERT(!second.election.is_leader());
+            CPPUNIT_ASSERT_MESSAGE(text_of(phase), third.election.is_leader());
+            CPPUNIT_ASSERT_MESSAGE(text_of(phase), third.election.predecessor_has_ended());
         }
         CPPUNIT_ASSERT(raced > 0);
     }
@@ -150,22 +150,22 @@
         candidate& first = cell.add();
         cell.time.run_for(seconds(1));
         candidate& second = cell.add();
-        constexpr duration modesty = milliseconds(300);
-        candidate& third = cell.add(modesty);
+        constexpr duration claim_delay = milliseconds(300);
+        candidate& third = cell.add(claim_delay);
         cell.time.run_for(seconds(2));
         second.log.lost_answers = 1;
         first.election.resign();
         cell.time.run_for(at_once);
-        CPPUNIT_ASSERT_EQUAL(2L, cell.count(reign_record::kind::claim));
-        CPPUNIT_ASSERT(!second.election.leads());
+        CPPUNIT_ASSERT_EQUAL(2L, cell.count(election_record::kind::claim));
+        CPPUNIT_ASSERT(!second.election.is_leader());
         second.log.lost_answers = 0;
         second.election.resign();
-        cell.time.run_for(reign_times{}.takeover_after - at_once);
-        CPPUNIT_ASSERT_EQUAL(2L, cell.count(reign_record::kind::resignation));
-        cell.time.run_for(modesty + at_once);
-        CPPUNIT_ASSERT(!second.election.leads());
-        CPPUNIT_ASSERT(third.election.leads());
-        CPPUNIT_ASSERT(third.election.follows_resignation());
+        cell.time.run_for(election_timing{}.takeover_timeout - at_once);
+        CPPUNIT_ASSERT_EQUAL(2L, cell.count(election_record::kind::resignation));
+        cell.time.run_for(claim_delay + at_once);
+        CPPUNIT_ASSERT(!second.election.is_leader());
+        CPPUNIT_ASSERT(third.election.is_leader());
+        CPPUNIT_ASSERT(third.election.predecessor_has_ended());
     }
     /// The resignation is stored but its answer is lost. A second one after the successor's claim
     /// would end the successor's term.
@@ -178,16 +178,16 @@
         first.log.lost_answers = 1;
         first.election.resign();
         cell.time.run_for(at_once);
-        CPPUNIT_ASSERT(second.election.leads());
-        CPPUNIT_ASSERT(second.election.follows_resignation());
+        CPPUNIT_ASSERT(second.election.is_leader());
+        CPPUNIT_ASSERT(second.election.predecessor_has_ended());
         cell.time.run_for(seconds(5));
-        CPPUNIT_ASSERT_EQUAL(1L, cell.count(reign_record::kind::resignation));
-        CPPUNIT_ASSERT(second.election.leads());
+        CPPUNIT_ASSERT_EQUAL(1L, cell.count(election_record::kind::resignation));
+        CPPUNIT_ASSERT(second.election.is_leader());
     }
     /// The coordinator resigns while it can't reach the store. Its successor claims after the
     /// missed renewals; a resignation that the first host writes after its return must not end the
     /// successor's term.
-    void a_late_resignation_ends_nobody_elses_reign() {
+    void a_late_resignation_ends_nobody_elses_term() {
         for (const auto state : {sim_log::way::refused, sim_log::way::silent}) {
             cell_of_candidates cell;
             candidate& first = cell.add();
@@ -197,14 +197,14 @@
             first.log.state = state;
             first.election.resign();
             cell.time.run_for(seconds(3));
-            CPPUNIT_ASSERT(second.election.leads());
-            CPPUNIT_ASSERT(!second.election.follows_resignation());
+            CPPUNIT_ASSERT(second.election.is_leader());
+            CPPUNIT_ASSERT(!second.election.predecessor_has_ended());
             const lease_epoch epoch = second.election.epoch();
             first.log.state = sim_log::way::open;
             cell.time.run_for(seconds(3));
-            CPPUNIT_ASSERT(second.election.leads());
+            CPPUNIT_ASSERT(second.election.is_leader());
             CPPUNIT_ASSERT_EQUAL(epoch.value(), second.election.epoch().value());
-            CPPUNIT_ASSERT_EQUAL(0L, cell.count(reign_record::kind::resignation));
+            CPPUNIT_ASSERT_EQUAL(0L, cell.count(election_record::kind::resignation));
         }
     }
     /// The store refuses the resignation for half a second while another host accepts a job. The
@@ -226,7 +226,7 @@
         world.host(first)->way_to_log().state = sim_log::way::open;
         world.time().run_for(retry_period + at_once);
         CPPUNIT_ASSERT(world.coordinator() == second);
-        CPPUNIT_ASSERT(world.host(second)->member().election().follows_resignation());
+        CPPUNIT_ASSERT(world.host(second)->member().election().predecessor_has_ended());
         world.time().run_for(seconds(2));
         CPPUNIT_ASSERT(world.host(first)->member().coordinating() == nullptr);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, world.watch().starts);
--- a/tests/cell/step_down_test.cpp
+++ b/tests/cell/step_down_test.cpp
@@ -22,10 +22,10 @@
 
     /// Begins with lasting tasks at work; returns the host that coordinates.
     std::size_t begin_with_tasks() {
-        begin();
-        world_.submit(0, "a", lasting(task_count));
+        start_cell();
+        world_.submit(0, "a", service_job(task_count));
         world_.time().run_for(seconds(3));
-        all_run("a", task_count);
+        assert_all_run("a", task_count);
         return *world_.coordinator();
     }
     void part_from_log(std::size_t host) {
@@ -41,7 +41,7 @@
     /// returns the task.
     std::string record_without_order(std::size_t coordinator) {
         world_.host(coordinator)->way_to_log().lost_answers = 1;
-        world_.submit((coordinator + 1) % world_.hosts(), "b", lasting(1));
+        world_.submit((coordinator + 1) % world_.hosts(), "b", service_job(1));
         run_until([this] { return !recorded().empty(); });
         world_.fleet().workers.at(recorded().str()).cut = true;
         return task("b", 0);
@@ -61,44 +61,44 @@
         });
         world_.time().run_for(milliseconds(500));
         CPPUNIT_ASSERT(world_.host(first)->member().coordinating() == nullptr);
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against a successor that reckons with leases which its predecessor hasn't prolonged,
     /// since the worker was silent before.
     void tasks_of_a_lost_worker_dont_wait_for_a_coordinator_parted_from_the_log() {
         constexpr duration later = milliseconds(700);
         const std::size_t first = begin_with_tasks();
-        lose("w1");
+        lose_worker("w1");
         world_.time().run_for(later);
         part_from_log(first);
-        world_.time().run_for(longest_after_loss - later);
-        all_run("a", task_count);
-        kept_the_rules();
+        world_.time().run_for(max_down_time_after_loss - later);
+        assert_all_run("a", task_count);
+        assert_invariants();
     }
     /// Guards against a wait that begins again with each change of coordinator.
     void tasks_of_a_lost_worker_dont_wait_anew_for_each_coordinator() {
         constexpr duration first_parting = milliseconds(700);
         constexpr duration second_parting = milliseconds(4000);
         const std::size_t first = begin_with_tasks();
-        lose("w1");
+        lose_worker("w1");
         world_.time().run_for(first_parting);
         part_from_log(first);
         world_.time().run_for(second_parting - first_parting);
         const std::size_t second = *world_.acting();
         CPPUNIT_ASSERT(second != first);
         part_from_log(second);
-        world_.time().run_for(longest_after_loss - second_parting);
-        all_run("a", task_count);
-        kept_the_rules();
+        world_.time().run_for(max_down_time_after_loss - second_parting);
+        assert_all_run("a", task_count);
+        assert_invariants();
     }
     /// Guards against a task that waits for a worker on which it was only recorded.
     void a_task_recorded_without_an_order_doesnt_wait_for_its_worker() {
         const std::size_t first = begin_with_tasks();
         const std::string waiting = record_without_order(first);
         part_from_log(first);
-        world_.time().run_for(longest_down);
+        world_.time().run_for(max_down_time);
         CPPUNIT_ASSERT(world_.watch().runs(waiting));
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against a coordinator that learns of its end from the log and forgets what it
     /// ordered.
@@ -111,9 +111,9 @@
         world_.time().run_for(awake);
         CPPUNIT_ASSERT(world_.host(first)->member().coordinating() == nullptr);
         world_.cut_from_peers(first, false);
-        world_.time().run_for(longest_down - awake);
+        world_.time().run_for(max_down_time - awake);
         CPPUNIT_ASSERT(world_.watch().runs(waiting));
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against the same where nobody can tell that there was no order.
     void a_task_recorded_without_an_order_by_a_coordinator_out_of_reach_runs_in_time() {
@@ -121,8 +121,8 @@
         const std::string waiting = record_without_order(first);
         part_from_log(first);
         world_.cut_from_peers(first, true);
-        world_.time().run_for(longest_down);
-        kept_the_rules();
+        world_.time().run_for(max_down_time);
+        assert_invariants();
         CPPUNIT_ASSERT(world_.watch().runs(waiting));
     }
     void outstanding_orders_pass_the_bus_unchanged() {
--- a/tests/cell/worker_notice_test.cpp
+++ b/tests/cell/worker_notice_test.cpp
@@ -18,7 +18,7 @@
     std::map<std::string, instant> last_start_;
 
     void begin_with_load() {
-        begin();
+        start_cell();
         world_.fleet().on_start_sent = [this](const std::string& worker, const std::string&) {
             last_start_[worker] = world_.time().now();
         };
@@ -52,7 +52,7 @@
         world_.time().run_for(seconds(3));
         CPPUNIT_ASSERT(last_start_["w1"] < readable);
         CPPUNIT_ASSERT(last_start_["w2"] > readable);
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against the same for operators' notices.
     void nothing_starts_in_a_data_centre_whose_evacuation_cant_be_read() {
@@ -64,7 +64,7 @@
         const instant notice = world_.time().now();
         world_.time().run_for(seconds(9));
         CPPUNIT_ASSERT(last_start_["w1"] < notice + cell_settings().evacuation_notice);
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against a start that waited for the host's link and goes out to a worker that is
     /// known to leave.
@@ -80,7 +80,7 @@
         world_.time().run_for(seconds(3));
         CPPUNIT_ASSERT(last_start_["w1"] < notice + read_within);
         CPPUNIT_ASSERT(last_start_["w2"] > notice + seconds(1));
-        kept_the_rules();
+        assert_invariants();
     }
     /// Guards against starts that use the link and arrive when they have no effect any more.
     void a_start_that_waits_too_long_unsent_isnt_sent() {
@@ -91,7 +91,7 @@
         hold_starts_unsent(duration::zero());
         world_.time().run_for(seconds(5));
         CPPUNIT_ASSERT(!last_start_.empty());
-        kept_the_rules();
+        assert_invariants();
     }
 };
 
--- a/tests/cell_host/fake_platform.h
+++ b/tests/cell_host/fake_platform.h
@@ -51,8 +51,8 @@
               std::function<void(read_result)> done) override {
         reply(stream, [done = std::move(done)] { done({}); });
     }
-    void newest(cell_stream stream, const std::string&,
-                std::function<void(newest_result)> done) override {
+    void read_newest(cell_stream stream, const std::string&,
+                     std::function<void(newest_result)> done) override {
         newest_result page;
         if (stream == cell_stream::operators)
             page.records.push_back({"config", "1", 0});
--- a/tests/cell_host/sim_intake.h
+++ b/tests/cell_host/sim_intake.h
@@ -25,7 +25,7 @@
           follower_(time.clock(), log, cell_stream::intake, {{}, std::chrono::seconds(1)},
                     [this](const stored_record& record) { writer.note_read(record); }),
           writer({time.clock(), log,
-                  [this](const stored_record& record) { follower_.skip(record); },
+                  [this](const stored_record& record) { follower_.on_own_append(record); },
                   [this] { return log.state == sim_log::way::open; },
                   [this](const std::vector<std::string>&, const std::function<void()>& done) {
                       follower_.sync([done](bool) { done(); });
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -102,8 +102,8 @@
         CPPUNIT_ASSERT(config.has_value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, config->version.value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, config->queues.size());
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, config->queues[0].attempts);
-        CPPUNIT_ASSERT(config->services[0].guards_capacity);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, config->queues[0].max_attempts);
+        CPPUNIT_ASSERT(config->services[0].enforces_capacity);
         CPPUNIT_ASSERT(!decode_config(R"({"routes":[],"services":[]})").has_value());
         CPPUNIT_ASSERT(!decode_config(R"({"version":"9","routes":[],"services":[]})").has_value());
         CPPUNIT_ASSERT(evacuated_by("evacuate/z") == data_centre_id("z"));
@@ -208,8 +208,8 @@
         body += encode_records(record_form::keyed, records);
         const auto read = decode_read(record_form::keyed, 40, body);
         CPPUNIT_ASSERT(read.has_value());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{43}, read->end);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, read->first);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{43}, read->end_offset);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, read->start_offset);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, read->records.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{42}, read->records[2].offset);
         CPPUNIT_ASSERT_EQUAL(std::string("v\0w", 3), *read->records[0].value);
--- a/tests/platform/store_log_test.cpp
+++ b/tests/platform/store_log_test.cpp
@@ -68,7 +68,7 @@
     std::vector<log_fault> load(const std::vector<cell_stream>& streams) {
         std::vector<log_fault> faults;
         for (const cell_stream stream : streams) {
-            log_->newest(stream, "", [&](const newest_result& read) {
+            log_->read_newest(stream, "", [&](const newest_result& read) {
                 faults.push_back(read.fault);
                 if (faults.size() == streams.size())
                     loop_.stop();
