--- a/src/cell_host/append_pace.cpp
+++ b/src/cell_host/append_pace.cpp
@@ -7,15 +7,16 @@
 namespace figwinch {
 namespace {
 
-// What passes between two ticks of a host that follows is no sign of a slow log.
+// Lower latencies never count as slow: a host that isn't the coordinator ticks every 25 ms, which
+// delays its appends by that order.
 constexpr duration least_slow = std::chrono::milliseconds(50);
 constexpr int slow_factor = 8;
 constexpr int fast_factor = 4;
-// Until it was measured, that of a link round the world.
+// Baseline before the first measurement: the latency of an intercontinental link.
 constexpr duration first_usual = std::chrono::milliseconds(50);
-// Of the newest time in what is usual.
+// A slower append moves the baseline by 1/16 of the difference.
 constexpr int memory = 16;
-// So that one quick append among slow ones doesn't count.
+// Minimum duration of the slow state, so that one quick append among slow ones doesn't end it.
 constexpr duration least_stay = std::chrono::milliseconds(300);
 
 std::int64_t in_ms(duration span) {
--- a/src/cell_host/append_pace.h
+++ b/src/cell_host/append_pace.h
@@ -6,30 +6,32 @@
 
 namespace figwinch {
 
-/// How fast the log takes appends to the intake stream, as this host sees it: the time from
-/// sending one to its answer, which is what waits before it in the log and its own service. Slow
-/// means many times what is usual here, so that the same rule holds on near and far links.
+/// Tracks the latency of this host's appends to the intake stream, from sending a request to its
+/// reply: queueing in the log plus service time. The log counts as slow while appends take many
+/// times the baseline measured on this host, so that one rule fits links of low and high latency.
 /// Owned by `intake_writer`.
 class append_pace {
 public:
     explicit append_pace(const clock& time) : time_(time) {}
 
-    /// An append was answered after `took`.
+    /// Records the latency of an append that was answered.
     void note(duration took);
-    /// An append has been on its way for `waited`.
+    /// Reports an append that has been in flight for `waited` without an answer.
     void note_waiting(duration waited);
-    /// The log, which answers otherwise, refused an append: its queue is full.
+    /// Reports that the log rejected an append because its queue is full.
     void note_full();
 
     bool is_slow() const { return slow_; }
-    /// The newest append's time.
+    /// Latency of the most recent append.
     duration latest() const { return latest_; }
+    /// Latency of an append while the log isn't slow: a moving average that follows lower values
+    /// at once.
     duration usual() const;
-    /// The quickest append since the log became slow, which waited least in its queue.
+    /// Lowest latency since the log became slow: that of the append which queued least.
     duration least() const { return least_.value_or(duration::zero()); }
-    /// Whether an append was answered within `span`.
+    /// Whether an append was answered within the last `span`.
     bool measured_within(duration span) const;
-    /// How often the log became slow.
+    /// How many times the log has become slow.
     std::uint64_t times_slow() const { return times_slow_; }
 
 private:
--- a/src/cell_host/bus_asker.h
+++ b/src/cell_host/bus_asker.h
@@ -5,12 +5,13 @@
 
 namespace figwinch {
 
-/// `peer_asker` over the bus, once there is one. Owned by `cell_host`.
+/// Sends requests to other hosts over the bus. Requests made before the bus is set fail. Owned by
+/// `cell_host`.
 class bus_asker final : public peer_asker {
 public:
     explicit bus_asker(event_loop& loop) : loop_(loop) {}
 
-    /// `peers` outlives it.
+    /// Sets the bus, which must outlive this object.
     void use(bus& peers) { peers_ = &peers; }
     void ask(const std::string& where, std::string body, duration timeout, handler done) override;
 
--- a/src/cell_host/bus_writer.cpp
+++ b/src/cell_host/bus_writer.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr duration probe_period = std::chrono::milliseconds(300);
-// A host with a small share of a core may not get to answer for some tenths of a second.
+// A host with a small share of a core may need several tenths of a second to reply.
 constexpr duration probe_patience = std::chrono::milliseconds(700);
 constexpr duration absence = std::chrono::seconds(2);
 
@@ -59,8 +59,8 @@
     end({});
 }
 
-/// Without an answer in its callers' time the writer isn't gone yet: its log may be slow.
-
+/// A handover that times out doesn't start a backoff, because the writer's log may just be slow;
+/// only a failed probe does.
 void bus_writer::take(std::uint64_t round, const absl::StatusOr<std::string>& reply) {
     if (round != round_ || !done_)
         return;
--- a/src/cell_host/bus_writer.h
+++ b/src/cell_host/bus_writer.h
@@ -9,12 +9,13 @@
 
 namespace figwinch {
 
-/// The cell's writer, asked over the bus. While it has records it is asked now and then whether it
-/// is there: a slow log holds its answer, but not that. One that isn't there isn't asked again for
-/// a while. Driven by `tick`. Owned by `cell_host`.
+/// Hands records over to the cell's shared writer over the bus. While a handover is in flight, the
+/// writer is probed periodically: a slow log delays the reply to a handover, but not the reply to a
+/// probe. A writer that fails a probe isn't used until a backoff has passed. Driven by `tick`.
+/// Owned by `cell_host`.
 class bus_writer final : public shared_writer {
 public:
-    /// `where`: the writer's bus address; nothing when it isn't known or is this host.
+    /// `where`: returns the shared writer's bus address; nullopt if it is unknown or this host.
     bus_writer(const clock& time, bus& peers, std::function<std::optional<std::string>()> where);
 
     bool is_open() const override;
@@ -34,7 +35,7 @@
     std::string asked_;
     std::uint64_t round_ = 0;
     instant next_probe_{};
-    /// Who didn't answer, and until when it isn't asked.
+    /// Address of the writer that last failed a probe, and the end of its backoff.
     std::string absent_;
     instant absent_until_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/cell_host/cell_host.cpp
+++ b/src/cell_host/cell_host.cpp
@@ -8,14 +8,15 @@
 namespace figwinch {
 namespace {
 
-// The balancer asks every second and needs two misses; requests already on their way follow.
+// The load balancer checks readiness every second and removes a host after two failures; requests
+// already in flight arrive after that.
 constexpr duration drain_notice = std::chrono::milliseconds(2600);
 constexpr duration drain_period = std::chrono::milliseconds(20);
-// Beside the metrics, for figwinchctl.
+// Served on the metrics port, for figwinchctl.
 constexpr std::string_view status_path = "/cell";
 constexpr duration load_period = std::chrono::seconds(5);
 constexpr duration stop_margin = std::chrono::milliseconds(700);
-// Before the stop's bound, so that answers still reach their callers.
+// Callers' deadlines end this long before the forced exit, so that responses still reach them.
 constexpr duration last_answers = std::chrono::milliseconds(200);
 
 http_server_limits caller_limits() {
@@ -127,7 +128,7 @@
     ticking_ = loop_.after(next, [this] { tick(); });
 }
 
-/// What this host's time and calls went into since the line before.
+/// Logs this host's CPU time and call counts since the previous line.
 void cell_host::log_load() {
     host_load_totals totals{platform_.log_calls(), platform_.order_calls(),  member_.passed_on(),
                             front_.counts().asked, front_.counts().accepted, {}};
@@ -165,8 +166,9 @@
     });
 }
 
-/// A resignation has had all the time that callers needed; after the missed renewals of that time
-/// another host has claimed unless the log is away for all.
+/// Gives up a resignation that isn't stored yet: it was retried while callers were served, and the
+/// lease renewals missed in that time have let another host claim leadership, unless no host
+/// reaches the log.
 void cell_host::end() {
     member_.abandon_resignation();
     loop_.stop();
--- a/src/cell_host/cell_host.h
+++ b/src/cell_host/cell_host.h
@@ -11,16 +11,17 @@
 
 namespace figwinch {
 
-/// One host of a cell as a process: the member's timers, and the servers for callers, readiness and
-/// metrics. Owned by `main`.
+/// The daemon of one host of a cell: runs a `cell_member` on the event loop, talks to other hosts
+/// over the bus, and serves the HTTP job API, the readiness check and metrics. Owned by `main`.
 class cell_host {
 public:
     cell_host(event_loop& loop, cell_platform& platform, const cell_host_settings& with,
               incarnation_id self);
 
     absl::Status listen();
-    /// A planned stop: the reign goes at once, readiness with it; callers are served until the
-    /// balancer has seen that, and as long the resignation is tried.
+    /// Starts a planned stop: steps down as coordinator and fails the readiness check at once.
+    /// Callers are served until the load balancer has noticed and their requests have ended; until
+    /// then the resignation is retried if the log doesn't have it yet.
     void stop();
 
 private:
@@ -28,7 +29,8 @@
     bool is_ready() const { return !stopping_ && member_.is_loaded() && member_.log_answers(); }
     absl::Status listen_to_peers();
     void answer_peer(std::string_view message, const std::function<void(std::string)>& reply);
-    /// The bus address of the host that appends for all: the coordinator's.
+    /// Bus address of the shared writer, which is the coordinator; nullopt if it is unknown or this
+    /// host.
     std::optional<std::string> writer_address() const;
     void log_load();
     void answer_ready(const std::shared_ptr<http_responder>& answer) const;
--- a/src/cell_host/cell_host_settings.h
+++ b/src/cell_host/cell_host_settings.h
@@ -9,29 +9,32 @@
 
 namespace figwinch {
 
-/// Settings of one host of a cell; flags or environment variables.
+/// Settings of the daemon of one host, from command-line flags or environment variables.
 struct cell_host_settings {
     std::string node;
     std::string data_centre;
-    /// Where callers come in, where readiness is asked, where peers and metrics come in.
+    /// Listen addresses: the job API for callers, the readiness check, the bus to other hosts, and
+    /// metrics.
     endpoint callers;
     endpoint ready;
     endpoint bus;
     endpoint metrics;
-    /// The platform's store.
+    /// Address of the platform's log.
     endpoint log;
-    /// Who knows which workers may run a step, for queues whose policy asks.
+    /// Address of the advisor, the service that tells which workers may run a step; used for queues
+    /// whose policy requires it.
     std::optional<endpoint> advisor;
-    /// The share of a core that this process may use.
+    /// CPU limit of this process, in cores.
     double cpu_share = 1;
-    /// What the host's own link carries, megabits a second.
+    /// Bandwidth of this host's network link, Mbit/s.
     double link_mbps = 1000;
+    /// From SIGTERM until the platform kills the process.
     duration grace{};
     cell_settings cell;
     log_level level = log_level::info;
 };
 
-/// Checks every flag; faults are named with flag, value, range and unit.
+/// Validates all flags. An error names the flag, its value, and the accepted range and unit.
 void check_cell_flags(settings_reader& reader);
 cell_host_settings read_cell_flags();
 
--- a/src/cell_host/cell_member.cpp
+++ b/src/cell_host/cell_member.cpp
@@ -10,17 +10,22 @@
 namespace figwinch {
 namespace {
 
-// What a coordinator decides waits half of this on average; each tick costs a wake-up.
+// Tick period of the coordinator: its decisions wait half of it on average, and each tick costs a
+// wake-up.
 constexpr duration leading_tick = std::chrono::milliseconds(8);
 constexpr duration following_tick = std::chrono::milliseconds(25);
-// A coordinator that the log confirms and that may order nothing makes way for another.
+// A leader whose lease the log renews, but which hasn't been able to send orders for this long,
+// steps down in favour of another host.
 constexpr duration longest_unused = std::chrono::milliseconds(4000);
-// A page of jobs may wait so long behind those of other hosts.
+// Timeout of a read during a snapshot load: its page may queue this long behind the pages of other
+// hosts.
 constexpr duration longest_silence = std::chrono::seconds(2);
 constexpr duration forget_patience = std::chrono::seconds(30);
 
-/// Hosts that may coordinate load first, so that the others find some to ask. The more hosts there
-/// are, the fewer of them begin at once; one of a few begins before a vacant reign can be claimed.
+/// Delay before the first snapshot load. Hosts with enough CPU to be preferred as coordinator load
+/// at once, so that the others find replicas to query. The others spread by a hash of their ID; the
+/// square root lets only a small part of many hosts begin early, while in a cell of few hosts one
+/// still begins before a vacant leadership can be claimed.
 duration load_delay(double cpu_share, const incarnation_id& self) {
     constexpr double most_delayed = 3;
     constexpr double range = 18446744073709551616.0;
@@ -131,7 +136,7 @@
         log_event(log_level::error, "config_unreadable", {});
         return;
     }
-    // A version never goes back, whatever order records are read in.
+    // Records may be read out of order; an older version never replaces a newer one.
     if (config_ && config->version <= config_->version)
         return;
     config_ = std::move(*config);
--- a/src/cell_host/cell_member.h
+++ b/src/cell_host/cell_member.h
@@ -16,34 +16,35 @@
 
 namespace figwinch {
 
-/// What a host offers to the coordinator of its cell.
+/// Address, data centre and relay capacity that a host reports to the coordinator.
 struct member_place {
     std::string bus_address;
     data_centre_id data_centre;
-    /// Workers whose calls it can make.
+    /// Number of workers to which it can relay the coordinator's orders.
     std::uint32_t carries = 0;
 };
 
-/// One host's part in a cell, without sockets and timers: keeps a copy of the cell's state or asks
-/// hosts that do, stands for the reign and, while it holds it, runs the coordinator. Driven by
-/// `tick` and the platform's answers. Owned by `cell_host`.
+/// The logic of one host of a cell, without sockets and timers: keeps a read replica of the cell's
+/// jobs or queries hosts that have one, takes part in leader election, and runs the coordinator
+/// while it is elected. Driven by `tick` and the platform's answers. Owned by `cell_host`.
 class cell_member {
 public:
-    /// `peers` outlives it.
+    /// `peers` must outlive this object.
     cell_member(const clock& time, cell_platform& platform, peer_asker& peers,
                 const cell_settings& settings, incarnation_id self, member_place place,
                 double cpu_share);
 
-    /// Does what is due; returns how long the next call may wait.
+    /// Does all work that is due; returns the delay until the next call.
     duration tick();
-    /// Gives the reign up for a planned stop; callers may still be served. From then on it orders
-    /// nothing, and `tick` goes on until the log has the resignation.
+    /// Steps down for a planned stop and doesn't stand for election again; callers may still be
+    /// served. No more orders are sent, while `tick` keeps trying to store the resignation.
     void resign();
-    /// The process ends.
+    /// Stops trying to store the resignation, because the process is about to exit.
     void abandon_resignation() { reign_.abandon_resignation(); }
-    /// A message of another host; returns the reply.
+    /// Handles another host's offer to relay orders; returns the encoded reply.
     std::string take_offer(std::string_view bytes);
-    /// Ends this host's reign when another asks that follows it.
+    /// Handles a successor's request to step down: ends this host's leadership term and returns the
+    /// orders that it leaves outstanding, encoded.
     std::string take_step_down(std::string_view bytes);
     std::string take_exchange(std::string_view bytes) { return link_server_.exchange(bytes); }
     void take_question(std::string_view bytes, const std::function<void(std::string)>& reply) {
@@ -55,37 +56,41 @@
     const reign& election() const { return reign_; }
     intake_writer& writer() { return writer_; }
     const intake_writer& writer() const { return writer_; }
-    /// Nothing while another host coordinates.
+    /// Null while this host isn't the coordinator.
     const coordinator* coordinating() const { return coordinator_.get(); }
-    /// Hosts by way of which this one's orders go.
+    /// Number of hosts that relay this coordinator's orders.
     std::size_t links() const { return orders_ ? orders_->lanes() : 0; }
+    /// Number of orders that this host has relayed for coordinators.
     std::uint64_t passed_on() const { return link_server_.passed_on(); }
-    /// Whether it can serve callers.
+    /// Whether this host can serve callers: it has a configuration, and a read replica or others to
+    /// query.
     bool is_loaded() const {
         return config_ && (intake_.is_loaded() || !role_.readers().places().empty());
     }
-    /// Answers callers' questions about jobs.
+    /// Looks up jobs for callers.
     job_source& jobs() { return jobs_; }
-    /// Whether this host keeps a copy of the cell's jobs, and has all of it.
+    /// Whether this host has a complete read replica of the cell's jobs.
     bool has_copy() const { return intake_.is_loaded() && progress_.is_loaded(); }
     std::uint64_t questions_answered() const { return questions_.answered(); }
-    /// Whether the log has answered this host lately.
+    /// Whether the log has answered this host recently.
     bool log_answers() const;
-    /// How long ago the newest moment is up to which all notices of workers, or of operators, are
-    /// known. Workers are followed by the coordinator alone.
+    /// Age of this host's view of workers and of operators' changes: the time since the newest
+    /// moment up to which it has read all of them. Only the coordinator reads the workers stream.
     duration workers_age() const { return time_.now() - workers_.current_at(); }
     duration operators_age() const { return time_.now() - operators_.current_at(); }
 
 private:
+    /// A past leadership term of this host and the orders that it left outstanding.
     struct ended_reign {
         lease_epoch epoch;
         outstanding_orders orders;
         instant at{};
     };
 
-    /// Whether this host could coordinate if it were elected.
+    /// Whether this host may stand for election.
     bool can_coordinate() const;
     void lead();
+    /// Whether this host coordinates and may send orders.
     bool is_useful() const;
     void step_aside();
     void follow_jobs();
@@ -130,32 +135,34 @@
     intake_writer writer_;
     reign reign_;
     std::unique_ptr<progress_writer> journal_;
-    /// While this host coordinates: its way to the workers.
+    /// Sends orders to workers, directly or through relays. Set while this host coordinates.
     std::unique_ptr<linked_orders> orders_;
-    /// While this host coordinates: who keeps copies.
+    /// Chooses the hosts that keep read replicas. Set while this host coordinates.
     std::unique_ptr<reader_roster> roster_;
     std::unique_ptr<coordinator> coordinator_;
-    /// While workers of the reign before are in doubt.
+    /// Set while it is unknown what the predecessor left running on some workers.
     std::unique_ptr<predecessor_asker> predecessor_;
-    /// Of the reign that this host ended last, for a successor that asks later.
+    /// The last leadership term of this host, for a step-down request that comes later.
     std::optional<ended_reign> ended_;
     link_server link_server_;
-    /// To whom this host offered itself last, and when it does again.
+    /// Coordinator that got the last relay offer, whether the offer announced a stop, and when the
+    /// next one is due.
     std::string offered_to_;
     bool offered_leaving_ = false;
     instant next_offer_{};
-    /// The reign that `journal_` is for; a reign is prepared once.
+    /// Epoch of the leadership term that `journal_` writes for. Each term is set up once.
     lease_epoch prepared_;
+    /// Whether the log fenced this host's writes, or its state couldn't be read: the term must end.
     bool deposed_ = false;
-    /// When this host last could coordinate or didn't lead.
+    /// When this host was last not elected, or elected and able to send orders.
     instant useful_at_{};
-    /// Leaves the reign to others until then.
+    /// Doesn't stand for election before this time.
     instant aside_until_{};
-    /// Told in the log: the view of workers or operators is too old to start anything.
+    /// Whether the view of workers or operators was logged as too old to start tasks.
     bool view_is_old_ = false;
-    /// Jobs that came in and that the coordinator hasn't been told of.
+    /// New jobs that haven't been passed to the coordinator yet.
     std::vector<job_id> held_back_;
-    /// Whether `state_` holds, or begins to hold, a copy.
+    /// Whether `state_` holds a read replica or one is being loaded.
     bool has_state_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/cell_host/cell_member_jobs.cpp
+++ b/src/cell_host/cell_member_jobs.cpp
@@ -9,9 +9,9 @@
 namespace figwinch {
 namespace {
 
-// A host that the log hasn't answered for so long can't accept jobs.
+// A host that has had no answer from the log for this long doesn't accept jobs.
 constexpr duration log_silence = std::chrono::milliseconds(1700);
-// How long others are asked for a late append's records.
+// Timeout for asking read replicas whether a late append's records were stored.
 constexpr duration look_patience = std::chrono::milliseconds(450);
 constexpr duration offer_period = std::chrono::milliseconds(500);
 
@@ -29,8 +29,8 @@
         return;
     has_state_ = true;
     intake_.tick();
-    // A coordinator writes the stream itself; until it has begun, a read may have to be tried
-    // again.
+    // The coordinator alone writes the progress stream, so it needn't read it. Until the
+    // coordinator is running, a read may have to be retried.
     if (!coordinator_)
         follow_progress();
 }
@@ -59,7 +59,8 @@
     state_.clear();
 }
 
-/// What a late append's records became: this host's copy shows it, or another's.
+/// Finds out whether a late append's records were stored, from this host's read replica or from
+/// another host's.
 void cell_member::look_for(const std::vector<std::string>& keys,
                            const std::function<void()>& done) {
     if (!keeps_copy())
@@ -83,7 +84,7 @@
     }
 }
 
-/// Tells the coordinator that this host can pass orders on, or that it is about to stop.
+/// Offers this host to the coordinator as a relay, or announces that it is about to stop.
 void cell_member::offer_link() {
     const std::optional<reign_view>& reign = reign_.current();
     if (!reign || reign->holder == self_)
--- a/src/cell_host/cell_member_reign.cpp
+++ b/src/cell_host/cell_member_reign.cpp
@@ -8,14 +8,15 @@
 namespace figwinch {
 namespace {
 
-// Together with the time after which a coordinator that can't order makes way this is well below a
-// worker's lease.
+// How long a leader that stepped down because it couldn't send orders stays out of elections. Kept
+// short, as is the time before it steps down, because workers' leases run meanwhile.
 constexpr duration time_aside = std::chrono::milliseconds(3000);
 
 } // namespace
 
-/// Renewals are small and pass where loads don't: a host that claimed before it has loaded would
-/// keep the reign from those that have.
+/// Only hosts with loaded state stand for election. Lease renewals are small and succeed on links
+/// where snapshot loads don't, so a host elected before its load could stay leader without ever
+/// being able to coordinate, and block the hosts that are.
 bool cell_member::can_coordinate() const {
     return intake_.is_loaded() && progress_.is_loaded() && time_.now() >= aside_until_;
 }
@@ -46,7 +47,7 @@
     if (predecessor_)
         predecessor_->tick();
     pass_listing();
-    // New jobs wait while the log doesn't confirm the reign (see `fresh_reign`).
+    // New jobs wait while the log doesn't confirm the leadership lease (see `fresh_reign`).
     intake_.set_pace(reign_.is_fresh() ? leading_intake : following_intake);
     pass_intake();
     note_view();
@@ -74,9 +75,10 @@
                   {{"workers_age_ms", workers_ms}, {"operators_age_ms", operators_ms}});
 }
 
-/// New jobs wait while the log doesn't confirm the reign. A coordinator that was parted from the
-/// log reads what came meanwhile before it learns that it has been followed; its successor starts
-/// those jobs without asking the workers that it can't reach.
+/// Passes new jobs to the coordinator, but only while the log confirms the leadership lease. A
+/// coordinator cut off from the log for a time may read the jobs accepted meanwhile before it
+/// learns that it has a successor, and the successor starts those jobs without checking workers
+/// that it can't reach.
 void cell_member::pass_intake() {
     if (!reign_.is_fresh())
         return;
@@ -85,7 +87,8 @@
             coordinator_->take_intake(*job);
 }
 
-/// Fences the predecessor first, so that what is read after it is all that it ever wrote.
+/// Sets up a leadership term. Fences the predecessor's epoch first, so that the reads that follow
+/// see everything the predecessor ever wrote.
 void cell_member::begin_reign() {
     prepared_ = reign_.epoch();
     deposed_ = false;
@@ -131,7 +134,8 @@
     ask_predecessor();
 }
 
-/// It may act on without the log for seconds, and it alone knows what it has ordered.
+/// Asks the predecessor to step down. It may go on for seconds without the log, and it alone knows
+/// which orders it has sent.
 void cell_member::ask_predecessor() {
     const std::optional<reign_view>& before = reign_.predecessor();
     if (!before || before->holder == self_ || coordinator_->counts().workers_unresolved == 0)
--- a/src/cell_host/cell_metrics.cpp
+++ b/src/cell_host/cell_metrics.cpp
@@ -8,7 +8,7 @@
 namespace figwinch {
 namespace {
 
-// Seconds. One append takes 6 ms as a rule; callers give up after 3 s.
+// Histogram bounds in seconds. An append typically takes 6 ms; callers time out after 3 s.
 const std::vector<double> acceptance_bounds = {0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 3};
 
 } // namespace
--- a/src/cell_host/cell_metrics.h
+++ b/src/cell_host/cell_metrics.h
@@ -14,15 +14,15 @@
 
 namespace figwinch {
 
-/// The metrics of one host of a cell. Counts are read when they are asked for, so that nothing is
-/// spent on them in between. Owned by `cell_host`.
+/// Metrics of one host of a cell. Counters are collected only when the metrics are scraped, so they
+/// cost nothing in between. Owned by `cell_host`.
 class cell_metrics {
 public:
     cell_metrics();
 
-    /// How long a caller waited for the acceptance of a job.
+    /// Records the time from a submission's arrival to its acceptance.
     void observe_acceptance(duration waited);
-    /// The body of GET /metrics.
+    /// Returns the body of GET /metrics.
     std::string expose(const cell_member& member, const job_front_counts& front,
                        const cell_platform& platform);
 
--- a/src/cell_host/cell_status.cpp
+++ b/src/cell_host/cell_status.cpp
@@ -56,7 +56,7 @@
     options.always_print_primitive_fields = true;
     options.preserve_proto_field_names = true;
     std::string text;
-    // Every string in it is a name that was read as text; what isn't UTF-8 leaves the answer empty.
+    // Fails only if a name isn't valid UTF-8; the status is empty then.
     if (!google::protobuf::util::MessageToJsonString(shown, &text, options).ok())
         return "{}";
     return text;
--- a/src/cell_host/cell_status.h
+++ b/src/cell_host/cell_status.h
@@ -6,7 +6,7 @@
 
 namespace figwinch {
 
-/// What a host shows people about itself and, as the coordinator, about its workers and open jobs:
+/// Returns a host's status for operators, on the coordinator with its workers and open jobs:
 /// `CellView` of proto/cell.proto as JSON.
 std::string encode_status(const std::string& node, const cell_member& member);
 
--- a/src/cell_host/follow_paces.h
+++ b/src/cell_host/follow_paces.h
@@ -4,22 +4,24 @@
 
 namespace figwinch {
 
-// Operators' changes are rare, so a read waits for the next; but an outage can leave a read without
-// an answer for good, and a change has to be in force within 2 s all the same.
+// Operators' changes are rare, so a read waits in the log for the next one. The wait is bounded
+// because an outage can lose a read's reply, and even then a change must take effect within 2 s.
 inline constexpr follow_pace operators_pace{std::chrono::milliseconds(800),
                                             std::chrono::milliseconds(10)};
-// A host that keeps no copy reads little else, and learns by these reads whether the log answers.
+// On hosts without a read replica. They read little else, so these reads also show whether the log
+// answers.
 inline constexpr follow_pace asking_operators{std::chrono::milliseconds(250),
                                               std::chrono::milliseconds(10)};
-// Workers write about once a second each; reading on every record would cost a call for each.
+// Each worker writes about once a second. Reads don't wait for records, because each record would
+// then cost a call.
 inline constexpr follow_pace workers_pace{duration::zero(), std::chrono::milliseconds(200)};
-// The coordinator takes up jobs as they come.
+// On the coordinator, which starts new jobs as they arrive.
 inline constexpr follow_pace leading_intake{std::chrono::milliseconds(1000),
                                             std::chrono::milliseconds(20)};
-// Others read them at once when a caller asks for a job that they don't know. What is left are
-// counts of jobs that wait, which may be 2 s old.
+// On other hosts, which read on demand when a caller asks for a job that they don't know. Periodic
+// reads only keep counts of waiting jobs current, and these may be 2 s old.
 inline constexpr follow_pace following_intake{duration::zero(), std::chrono::milliseconds(1000)};
-// How far jobs are, for callers who ask.
+// Keeps the progress of jobs current for callers' status requests.
 inline constexpr follow_pace following_progress{duration::zero(), std::chrono::milliseconds(250)};
 
 } // namespace figwinch
--- a/src/cell_host/handover_codec.h
+++ b/src/cell_host/handover_codec.h
@@ -9,21 +9,22 @@
 
 namespace figwinch {
 
-/// Records that a host hands to the cell's writer; without any it asks whether the writer is there.
+/// Records that a host hands over to the cell's shared writer for appending. Without records it is
+/// a probe, which only checks whether the writer responds.
 struct handover {
-    /// How long the callers wait.
+    /// Time left until the latest deadline of the records' callers.
     duration patience{};
     std::vector<stored_record> records;
 };
 
 std::string encode_handover(const handover& handed);
-/// Nothing on bytes that aren't one.
+/// Returns nullopt if the bytes are malformed.
 std::optional<handover> decode_handover(std::string_view bytes);
 
 std::string encode_handover_result(const handover_result& result);
-/// `unknown` on bytes that aren't one.
+/// The outcome is `unknown` if the bytes are malformed.
 handover_result decode_handover_result(std::string_view bytes);
-/// The answer to a host that asks whether the writer is there.
+/// Encodes the reply to a probe.
 std::string encode_presence();
 
 } // namespace figwinch
--- a/src/cell_host/handover_lane.h
+++ b/src/cell_host/handover_lane.h
@@ -8,16 +8,16 @@
 
 namespace figwinch {
 
-/// A host's entries on their way to the cell's writer, one batch at a time. Owned by
+/// Hands entries of this host over to the cell's shared writer, one batch at a time. Owned by
 /// `intake_writer`.
 class handover_lane {
 public:
-    /// Gets a batch back with what became of it.
+    /// Called with a batch and its outcome.
     using handler = std::function<void(intake_entries, const handover_result&)>;
 
     handover_lane(const clock& time, handler back) : time_(time), back_(std::move(back)) {}
 
-    /// `writer` outlives this; null: there is none.
+    /// Sets the shared writer, which must outlive this object; null if there is none.
     void use(shared_writer* writer) { writer_ = writer; }
     bool is_open() const { return writer_ != nullptr && writer_->is_open(); }
     bool is_busy() const { return busy_; }
@@ -25,8 +25,9 @@
     intake_entries& entries() { return entries_; }
     std::size_t size() const { return entries_.size(); }
 
-    /// What is left of the batch on its way, if it takes as long as the one before. What comes
-    /// after it only the writer can tell, which sees the log's queue.
+    /// Estimated time until the batch in flight is answered, if it takes as long as the one before;
+    /// zero if there is none. Later batches aren't estimated, because only the writer can observe
+    /// the log's queue.
     duration left() const;
 
 private:
--- a/src/cell_host/handover_server.h
+++ b/src/cell_host/handover_server.h
@@ -9,12 +9,12 @@
 
 namespace figwinch {
 
-/// Takes other hosts' records while this host writes for the cell. They wait in its own writer,
-/// which has one append on its way and gathers what comes meanwhile in the next. Owned by
-/// `cell_host`.
+/// Appends records that other hosts hand over while this host is the cell's shared writer. They go
+/// through this host's `intake_writer`, which has one append in flight and batches what arrives
+/// meanwhile into the next. Owned by `cell_host`.
 class handover_server {
 public:
-    /// `writes`: whether this host coordinates and its log answers.
+    /// `writes`: whether this host is the shared writer: it coordinates and the log answers it.
     handover_server(const clock& time, intake_writer& writer, std::function<bool()> writes)
         : time_(time), writer_(writer), writes_(std::move(writes)) {}
 
--- a/src/cell_host/host_load.h
+++ b/src/cell_host/host_load.h
@@ -7,10 +7,10 @@
 
 namespace figwinch {
 
-/// What a host has done since its start.
+/// Counters of a host since the start of its process.
 struct host_load_totals {
     std::uint64_t log_calls = 0;
-    /// Calls to workers that this process made, and how many of them for a coordinator elsewhere.
+    /// Calls made to workers, and the orders that were relayed for a coordinator on another host.
     std::uint64_t worker_calls = 0;
     std::uint64_t passed_on = 0;
     std::uint64_t questions = 0;
@@ -18,14 +18,16 @@
     std::array<stream_reads, all_streams.size()> reads{};
 };
 
-/// Tells in the log what a host's processor time and calls go into, and how late its loop is.
-/// Owned by `cell_host`.
+/// Logs a host's CPU time, its counts of calls and the largest delay of its event loop. Owned by
+/// `cell_host`.
 class host_load {
 public:
-    /// The loop's next turn is due at `when`.
+    /// Sets when the event loop's next tick is due.
     void expect_turn(instant when) { due_ = when; }
+    /// Records by how much the tick that begins `now` is late.
     void note_turn(instant now);
-    /// One line on what has changed since the last one, and one on each stream that was read.
+    /// Logs one line with the changes since the previous call and one for each stream that was
+    /// read.
     void log(const host_load_totals& totals, std::size_t links, bool coordinates);
 
 private:
--- a/src/cell_host/intake_entry.cpp
+++ b/src/cell_host/intake_entry.cpp
@@ -16,7 +16,7 @@
     return sum;
 }
 
-/// The same key twice is the same job, whoever wrote it.
+/// Records with the same key are of the same job, whichever host appended them.
 bool intake_entry::is_in(const stored_record& record) const {
     return records.size() == 1 && records.front().value && record.value &&
            records.front().key == record.key;
--- a/src/cell_host/intake_entry.h
+++ b/src/cell_host/intake_entry.h
@@ -9,41 +9,42 @@
 
 namespace figwinch {
 
-/// What became of a record that a caller waits for.
+/// Outcome of a write that a caller waits for.
 enum class intake_outcome {
     stored,
-    /// Certainly not in the log, and never will be.
+    /// The records aren't in the log and never will be.
     not_stored,
-    /// May be in the log or still get there.
+    /// The records may be in the log or may still be appended.
     unknown,
 };
 
-/// Records of one caller on their way to the intake stream. Owned by `intake_writer`.
+/// A pending write of one caller's records to the intake stream. Owned by `intake_writer`.
 struct intake_entry {
     std::vector<stored_record> records;
     instant deadline{};
-    /// With the offset of the first record, where they are stored and that is known.
+    /// Called with the outcome and, if the records are stored, the offset of the first one.
     std::function<void(intake_outcome, std::uint64_t offset)> done;
-    /// An append that held it went unanswered: it may be in the log.
+    /// An append with these records timed out, so they may be in the log.
     bool doubtful = false;
-    /// The stream was seen to hold it.
+    /// The records were found in a read of the stream.
     bool seen = false;
-    /// This host appends it itself no sooner: an earlier append of it may wait in the log's queue.
+    /// This host doesn't append the records before this time: an earlier append of them may still
+    /// wait in the log's queue.
     instant append_from{};
-    /// It isn't handed to the cell's writer: this host appends it.
+    /// The records are appended by this host and not handed over to the cell's shared writer.
     bool own = false;
 
-    /// Tells the caller once.
+    /// Reports the outcome to the caller. Only the first call has an effect.
     void end(intake_outcome outcome, std::uint64_t offset = 0);
     bool has_ended() const { return !done; }
     std::size_t bytes() const;
-    /// Whether the log holds it, given that it holds `record`.
+    /// Whether `record`, read from the log, shows that this entry is stored.
     bool is_in(const stored_record& record) const;
 };
 
 using intake_entries = std::deque<intake_entry>;
 
-/// The records of all, in order.
+/// Concatenates the records of all entries.
 std::vector<stored_record> records_of(const intake_entries& entries);
 
 } // namespace figwinch
--- a/src/cell_host/intake_outlook.cpp
+++ b/src/cell_host/intake_outlook.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-// How long callers' records will take to be stored.
+// The part of `intake_writer` that estimates how long callers' records will take to be stored.
 namespace figwinch {
 namespace {
 
@@ -11,7 +11,8 @@
 
 } // namespace
 
-/// What can't be stored in its caller's time is refused before that is over.
+/// Rejects entries that can't be stored by their deadlines at once, rather than at the deadlines.
+/// Entries that may be stored already are kept.
 void intake_writer::refuse_hopeless() {
     const duration head = wait_of(0);
     const duration round = wait_of(intake_queue::most_entries) - head;
@@ -32,14 +33,15 @@
     return pace_.is_slow() ? wait_of(waiting_.size()) : duration::zero();
 }
 
-/// Then the others' appends are leaving the log's queue, and how long those of this host waited
-/// behind them says nothing of the next.
+/// Whether other hosts have handed records over to this host recently. If so, they no longer append
+/// on their own, and the latencies that this host measured while its appends queued behind theirs
+/// don't predict the next append.
 bool intake_writer::writes_for_others() const {
     return handed_here_ && with_.time.now() - *handed_here_ < writing_life;
 }
 
-/// Until an entry is stored that has so many before it: what is left of what is on its way, and one
-/// round more for each batch. An old measure counts for nothing.
+/// Estimated time until an entry with `ahead` entries before it is stored: the rest of the append
+/// in flight, and one append for each batch. Zero if the last measurement is too old.
 duration intake_writer::wait_of(std::size_t ahead) const {
     if (hands_over())
         return lane_.left();
--- a/src/cell_host/intake_queue.h
+++ b/src/cell_host/intake_queue.h
@@ -6,15 +6,17 @@
 
 namespace figwinch {
 
-/// Entries that wait to be sent, in order. Owned by `intake_writer`.
+/// Queue of entries that wait to be sent. Owned by `intake_writer`.
 class intake_queue {
 public:
-    /// One append holds so many at most.
+    /// Maximum number of entries in one append.
     static constexpr std::size_t most_entries = 200;
 
     void push(intake_entry entry) { entries_.push_back(std::move(entry)); }
+    /// Puts entries at the front of the queue.
     void put_back(intake_entries entries);
-    /// In order, as much of what `may` allows as one append holds.
+    /// Removes and returns the entries for one append: in order, those for which `may` returns
+    /// true, up to the limits of count and bytes.
     intake_entries take(const std::function<bool(const intake_entry&)>& may);
     intake_entries take_all();
     intake_entries& entries() { return entries_; }
--- a/src/cell_host/intake_writer.cpp
+++ b/src/cell_host/intake_writer.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr duration retry_period = std::chrono::milliseconds(100);
-// An append without an answer for so long is looked for in the stream; when nothing else of the log
-// answers either, its callers are told after twice that.
+// An append that is unanswered for this long is looked up in the stream. After twice this time its
+// callers are told that the outcome is unknown, if the log answers no other call either.
 constexpr duration late_after = std::chrono::milliseconds(500);
 
-/// Callers who still wait, and whose record may be stored already.
+/// Counts the entries whose callers still wait and whose records may be stored already.
 std::uint64_t count_doubtful(const intake_entries& entries) {
     return static_cast<std::uint64_t>(std::ranges::count_if(
         entries, [](const auto& entry) { return entry.doubtful && !entry.has_ended(); }));
@@ -107,7 +107,8 @@
     settle_by(lane_.entries(), record);
 }
 
-/// An answer to a read holds more than one to an append: only twice the time counts.
+/// The reply to a read carries more data than the reply to an append, so only half of the time
+/// counts as the latency of an append.
 void intake_writer::note_late_read(duration waited) {
     pace_.note_waiting(waited / 2);
 }
@@ -148,7 +149,8 @@
         });
 }
 
-/// The append goes on after its callers' time: its records are applied when the log has them.
+/// Checks on the append in flight. It stays in flight after its callers' deadlines, so that its
+/// records are applied if the log stores them later.
 void intake_writer::watch_append() {
     const instant now = with_.time.now();
     pace_.note_waiting(now - sent_at_);
@@ -159,7 +161,8 @@
         look_for_append();
 }
 
-/// A lost answer is found in the stream; nothing has to be appended twice for it.
+/// Looks for the records of a late append in the stream: if only the log's answer was lost, nothing
+/// has to be appended twice.
 void intake_writer::look_for_append() {
     next_look_ = with_.time.now() + late_after;
     std::vector<std::string> keys;
@@ -176,8 +179,8 @@
     });
 }
 
-/// The writer's one append for many hosts makes the queue hardly longer, so that a request which
-/// never arrived is made good.
+/// Hands a late append over to the shared writer, in case the original request never reached the
+/// log. The writer's single append for many hosts hardly lengthens the log's queue.
 void intake_writer::hand_late_over() {
     intake_entries late = std::exchange(batch_, {});
     for (intake_entry& entry : late) {
@@ -188,7 +191,8 @@
     waiting_.put_back(std::move(late));
 }
 
-/// No call to the log is answered: callers are told so and can ask at another host.
+/// Fails the append in flight and all waiting entries, because the log answers no call. Their
+/// callers can retry at another host.
 void intake_writer::give_up_append() {
     for (intake_entry& sent : std::exchange(batch_, {}))
         end_in_doubt(sent);
@@ -217,9 +221,10 @@
     commit(std::exchange(batch_, {}), result.offset);
 }
 
-/// No answer: the same records are sent once more, since a lost answer is cheap to get again. In a
-/// slow log the first may wait in the queue, and a second would only make that longer. Without an
-/// answer to the second callers are told so.
+/// Handles an append that timed out. Its records are sent once more, because a retry is a cheap way
+/// to recover a lost answer. If the log is slow, the retry waits until the first append can't be in
+/// the log's queue any more, since a second one would only lengthen it. If the retry times out too,
+/// callers are told that the outcome is unknown.
 void intake_writer::take_silence() {
     const duration queue = pace_.is_slow() ? with_.log.longest_queue() : duration::zero();
     intake_entries again;
@@ -235,9 +240,10 @@
     waiting_.put_back(std::move(again));
 }
 
-/// The log itself refused. When it answers otherwise its queue is full: who can still wait for as
-/// long as that is tries again. The others get their final answer now, so that they can go
-/// elsewhere. What an earlier append left in doubt stays so: that one may be stored yet.
+/// Handles an append that the log rejected. If the log answers other calls, its queue is full, and
+/// entries that can be handed over or can wait for as long as the longest queue are retried. The
+/// others fail now, so that their callers can go to another host. For entries of which an earlier
+/// append timed out the outcome stays unknown, because that append may still be stored.
 void intake_writer::take_refusal() {
     next_send_ = with_.time.now() + retry_period;
     intake_entries refused = std::exchange(batch_, {});
@@ -267,7 +273,8 @@
         refuse(entry);
 }
 
-/// Nobody else is asked twice: what the writer didn't do or say, this host does itself.
+/// Handles the outcome of a handover. Entries are handed over only once: if the shared writer
+/// didn't take them, or its answer was lost, this host appends them itself.
 void intake_writer::take_handed(intake_entries entries, const handover_result& result) {
     switch (result.outcome) {
     case handover_result::kind::stored:
--- a/src/cell_host/intake_writer.h
+++ b/src/cell_host/intake_writer.h
@@ -13,62 +13,64 @@
 
 namespace figwinch {
 
-/// What became of appends, for metrics.
+/// Counters of appends and their outcomes, for metrics.
 struct intake_counts {
     std::uint64_t appends = 0;
     std::uint64_t records = 0;
-    /// Callers whose late append was found in the stream, was answered when sent again or by the
-    /// cell's writer, and those that were told of doubt.
+    /// Callers whose unanswered append was found in the stream, was confirmed by a retry, or was
+    /// confirmed by the cell's shared writer.
     std::uint64_t settled_by_read = 0;
     std::uint64_t settled_by_repeat = 0;
     std::uint64_t settled_by_writer = 0;
-    /// Callers whose records were handed to the cell's writer.
+    /// Callers whose records were handed over to the cell's shared writer.
     std::uint64_t handed = 0;
+    /// Callers who were told that the outcome is unknown.
     std::uint64_t left_in_doubt = 0;
 };
 
-/// Appends jobs and cancellations to the intake stream, gathered in batches, one append at a time.
-/// An append that is late is looked for in the stream, and sent again only once it can't wait in
-/// the log's queue any more; while appends queue in the log, records are handed to the cell's
-/// writer, which appends those of all hosts together. When the log is silent altogether, callers
-/// are told at once. An append is bounded in records and bytes, so that it passes a narrow link in
-/// time. Owned by the host's daemon.
+/// Appends jobs and cancellations to the intake stream in batches, one append at a time. An append
+/// that is late is looked up in the stream, and retried only once it can no longer be in the log's
+/// queue. While the log is slow, records are handed over to the cell's shared writer, which appends
+/// those of all hosts together. While the log doesn't respond at all, callers' requests fail at
+/// once. An append is limited in records and bytes so that it passes a narrow link in time. Owned
+/// by the host's daemon.
 class intake_writer {
 public:
     using handler = std::function<void(intake_outcome, std::uint64_t offset)>;
 
-    /// What it works with; `time` and `log` outlive it.
+    /// Dependencies of the writer; `time` and `log` must outlive it.
     struct parts {
         const clock& time;
         durable_log& log;
-        /// Gets each record once the log has it, before its caller is told.
+        /// Called with each record that the log has stored, before the record's caller is told.
         std::function<void(const stored_record&)> applied;
-        /// Whether the log has answered anything to this host lately.
+        /// Whether the log has answered any call of this host recently.
         std::function<bool()> log_answers;
-        /// Looks in the log for what the records of these keys became, and has told `note_read` of
-        /// those that it found when it calls back.
+        /// Looks up records with these keys in the log, passes those that it finds to `note_read`,
+        /// then calls back.
         std::function<void(const std::vector<std::string>& keys, std::function<void()>)> look_for;
     };
 
     explicit intake_writer(parts with);
 
-    /// Calls back once, at `deadline` at the latest and as soon as the outcome is settled or can't
-    /// be.
+    /// Appends one caller's records. Calls back once: as soon as the outcome is known or can't be
+    /// determined, and at `deadline` at the latest.
     void write(std::vector<stored_record> records, instant deadline, handler done);
-    /// The same for a host that handed them over: they aren't handed on.
+    /// Like `write`, for records that another host handed over; they are never handed on.
     void write_for_other(std::vector<stored_record> records, instant deadline, handler done);
-    /// Who takes records over while the log is slow; outlives this. Null: nobody.
+    /// Sets the shared writer that gets records while the log is slow; null for none. It must
+    /// outlive this object.
     void hand_to(shared_writer* writer) { lane_.use(writer); }
     void tick();
-    /// Moves later deadlines to `latest`.
+    /// Lowers all later deadlines to `latest`.
     void end_by(instant latest);
-    /// A record that was read from the stream.
+    /// Handles a record that was read from the stream.
     void note_read(const stored_record& record);
-    /// A read of the log has been on its way for `waited`: a host that hasn't appended lately
-    /// learns of a slow log by it, before it adds to the log's queue.
+    /// Reports that a read of the log has been in flight for `waited`. This shows a slow log to a
+    /// host without recent appends before its own appends add to the log's queue.
     void note_late_read(duration waited);
-    /// How long a record that comes now will take to be stored, by what this host measures. Nothing
-    /// while the log isn't slow.
+    /// Estimated time until a record written now is stored, by this host's measurements; zero while
+    /// the log isn't slow.
     duration expected_wait() const;
     std::size_t waiting() const { return waiting_.size() + batch_.size() + lane_.size(); }
     const append_pace& pace() const { return pace_; }
@@ -107,15 +109,15 @@
     intake_queue waiting_;
     intake_entries batch_;
     bool in_flight_ = false;
-    /// The log refused the newest append although it answers.
+    /// The log rejected the last append but answers other calls: its queue is full.
     bool full_ = false;
-    /// Of the append on its way; answers to earlier ones are dropped.
+    /// Number of the append in flight; replies to earlier ones are ignored.
     std::uint64_t round_ = 0;
     instant sent_at_{};
-    /// When the first append was sent that the log hasn't answered, nor any after it.
+    /// Send time of the first of the appends that have gone unanswered since the last answer.
     std::optional<instant> unanswered_since_;
     instant next_look_{};
-    /// When another host last handed records over.
+    /// When another host last handed records over to this one.
     std::optional<instant> handed_here_;
     instant next_send_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/cell_host/job_front.cpp
+++ b/src/cell_host/job_front.cpp
@@ -12,7 +12,8 @@
 namespace {
 
 constexpr duration default_patience = std::chrono::seconds(3);
-// Before the caller gives up, so that the answer still reaches it; at most half of its patience.
+// Requests are answered this long before the caller's timeout, so that the response still reaches
+// it; at most half of the timeout.
 constexpr duration answer_margin = std::chrono::milliseconds(300);
 constexpr int status_ok = 200;
 constexpr int status_gone = 410;
@@ -67,7 +68,7 @@
         const absl::string_view why = job.status().message();
         return refuse(answer, code_of(job.status()), {why.data(), why.size()}, id.str());
     }
-    // Nothing is tried that would leave the caller waiting: another host may reach the log.
+    // Fails at once instead of letting the caller wait, because another host may reach the log.
     if (!with_.log_answers())
         return refuse(answer, result_code::log_unavailable, "the log doesn't answer", id.str());
     const instant deadline = deadline_of(request);
@@ -95,7 +96,8 @@
     case intake_outcome::not_stored:
         return refuse(answer, result_code::log_unavailable, "not stored", id.str());
     case intake_outcome::unknown:
-        // "Not run" would be a lie: the record may be in the log or still get there.
+        // A refusal would promise that the job never runs, but its record may be in the log or may
+        // still be appended.
         ++counts_.unknown;
         log_event(log_level::warn, "job_in_doubt", {{"job", id.str()}});
         return answer->respond(json_response(status_gateway_timeout, "{}"));
@@ -176,8 +178,9 @@
     answer->respond(std::move(response));
 }
 
-/// What a slow log needs for what waits here, and up to as much again: callers that are refused
-/// together don't come back together.
+/// The value of the Retry-After header: the time that a slow log needs for the entries waiting
+/// here, plus up to as much again by a hash of the job, so that callers refused together don't
+/// retry together.
 std::chrono::seconds job_front::retry_after(const result_info& row, const std::string& job) const {
     using std::chrono::seconds;
     const auto least = std::chrono::ceil<seconds>(*row.retry_after);
--- a/src/cell_host/job_front.h
+++ b/src/cell_host/job_front.h
@@ -18,11 +18,11 @@
     virtual bool is_job_id(std::string_view text) const = 0;
     virtual std::string encode_state(const job_entry& job) const = 0;
     virtual std::string encode_waiting(std::size_t jobs) const = 0;
-    /// How long the caller waits for the answer; nothing when it didn't say.
+    /// The caller's timeout; nullopt if the request doesn't state it.
     virtual std::optional<duration> patience(const http_request& request) const = 0;
 };
 
-/// What callers' requests came to, for metrics.
+/// Counters of callers' requests and their results, for metrics.
 struct job_front_counts {
     std::uint64_t accepted = 0;
     std::uint64_t refused = 0;
@@ -31,31 +31,33 @@
     std::uint64_t cancelled = 0;
 };
 
-/// Callers' way in: submits, shows and cancels jobs. A submission is accepted when the log has it;
-/// a job is called unknown only by a host that has read the log to its end. What can't be stored in
-/// its caller's time is refused at once. No request is held longer than its caller waits, whatever
-/// the log and other hosts do. Owned by the host's daemon.
+/// The HTTP API for callers: submits, shows and cancels jobs. A submission is accepted once the log
+/// has stored it. A job is reported as unknown only by a host that has read the log to its end. A
+/// submission that can't be stored before its caller's timeout is refused at once. Every request is
+/// answered before its caller's timeout, whatever the log and other hosts do. Owned by the host's
+/// daemon.
 class job_front {
 public:
-    /// What it works with; all outlive it. `config` may be empty: no configuration yet.
+    /// Dependencies, which must outlive this object. `config` is empty until a configuration has
+    /// been read.
     struct parts {
         const clock& time;
         const job_dialect& dialect;
         const std::optional<cell_config>& config;
-        /// Jobs that this host has a copy of.
+        /// This host's read replica of the cell's jobs; empty on hosts that keep none.
         const cell_state& state;
         job_source& jobs;
         intake_writer& writer;
-        /// Whether the log has answered this host lately.
+        /// Whether the log has answered this host recently.
         std::function<bool()> log_answers;
-        /// Told how long each acceptance took.
+        /// Called for each accepted submission with the time from its arrival to its acceptance.
         std::function<void(duration)> accepted;
     };
 
     explicit job_front(parts with) : with_(std::move(with)) {}
 
     void handle(const http_request& request, const std::shared_ptr<http_responder>& answer);
-    /// Before a planned stop: holds no request beyond `latest`, those that it holds included.
+    /// For a planned stop: answers all requests, also those in progress, by `latest`.
     void end_by(instant latest);
     const job_front_counts& counts() const { return counts_; }
 
@@ -71,8 +73,8 @@
     void write_cancellation(const job_id& id, instant deadline, const responder& answer);
     void show_queue(const queue_config& queue, const http_request& request,
                     const responder& answer);
-    /// Calls `found` with the job; answers itself when there is none, or when that can't be told in
-    /// the caller's time.
+    /// Calls `found` with the job. If there is no such job, or that can't be determined before the
+    /// caller's timeout, answers the request with an error instead.
     void find(const job_id& id, const http_request& request, const responder& answer,
               std::function<void(const job_entry&)> found);
     void refuse(const responder& answer, result_code code, std::string_view why,
--- a/src/cell_host/local_jobs.h
+++ b/src/cell_host/local_jobs.h
@@ -7,12 +7,12 @@
 
 namespace figwinch {
 
-/// Answers from this host's copy of the log. A job is called unknown only after the log was read to
-/// its end. Owned by `cell_member`.
+/// Looks up jobs in this host's read replica. A job is reported as unknown only after the log has
+/// been read to its end. Owned by `cell_member`.
 class local_jobs final : public job_source {
 public:
-    /// `sync`: reads the intake stream to its present end; tells whether it could. `time` and
-    /// `state` outlive it.
+    /// `sync`: reads the intake stream to its current end, then calls back with whether that
+    /// succeeded. `time` and `state` must outlive this object.
     local_jobs(const clock& time, const cell_state& state,
                std::function<void(std::function<void(bool)>)> sync)
         : time_(time), state_(state), sync_(std::move(sync)) {}
@@ -23,7 +23,7 @@
     void end_by(instant latest) override;
 
 private:
-    /// About a job that this host doesn't know yet.
+    /// A lookup of a job that the replica doesn't have, until the log has been read to its end.
     struct question {
         job_id id;
         job_handler done;
--- a/src/cell_host/peer_jobs.cpp
+++ b/src/cell_host/peer_jobs.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t most_readers_asked = 4;
-// A host with a small share of a core may not get to answer for some tenths of a second.
+// A host with a small share of a core may need several tenths of a second to reply.
 constexpr duration ask_patience = std::chrono::milliseconds(600);
 constexpr duration absence = std::chrono::seconds(2);
 
@@ -52,8 +52,9 @@
     ask_next(std::make_shared<question>(std::move(asked)));
 }
 
-/// The next one last: those that replied lately, then those near, each starting with another than
-/// the question before.
+/// Returns the bus addresses of the replicas to ask, the next one last. Responsive ones come before
+/// unresponsive ones, then those in this data centre before others; equals rotate from query to
+/// query to spread the load.
 std::vector<std::string> peer_jobs::readers_in_turn() {
     const instant now = with_.time.now();
     absl::erase_if(absent_, [now](const auto& entry) { return now >= entry.second; });
--- a/src/cell_host/peer_jobs.h
+++ b/src/cell_host/peer_jobs.h
@@ -13,11 +13,11 @@
 
 namespace figwinch {
 
-/// Asks readers of the cell, those of its own data centre first, one after the other until one can
-/// tell. Owned by `cell_member`.
+/// Looks up jobs on other hosts' read replicas, those in its own data centre first, one after the
+/// other until one has the answer. Owned by `cell_member`.
 class peer_jobs final : public job_source {
 public:
-    /// What it works with; all outlive it.
+    /// Dependencies, which must outlive this object.
     struct parts {
         const clock& time;
         peer_asker& peers;
@@ -36,10 +36,10 @@
     struct question {
         std::variant<job_id, queue_name> about;
         instant end{};
-        /// Takes a reply; tells whether it was an answer.
+        /// Handles a reply; returns whether it answers the query.
         std::function<bool(std::string_view)> take;
         std::function<void()> give_up;
-        /// Bus addresses, the next one last.
+        /// Bus addresses of the replicas still to be asked, the next one last.
         std::vector<std::string> left;
     };
     using question_ptr = std::shared_ptr<question>;
@@ -53,7 +53,7 @@
     parts with_;
     instant latest_end_ = instant::max();
     std::size_t turn_ = 0;
-    /// Readers that didn't reply, and until when others are asked first.
+    /// Replicas that didn't reply, by bus address, and until when the others are asked first.
     absl::flat_hash_map<std::string, instant> absent_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/cell_host/predecessor_asker.cpp
+++ b/src/cell_host/predecessor_asker.cpp
@@ -5,7 +5,7 @@
 namespace figwinch {
 namespace {
 
-// Some round trips between data centres, with a list of workers on a narrow link.
+// Allows several round trips between data centres and a list of workers sent over a narrow link.
 constexpr duration patience = std::chrono::milliseconds(400);
 constexpr duration period = std::chrono::milliseconds(200);
 
--- a/src/cell_host/predecessor_asker.h
+++ b/src/cell_host/predecessor_asker.h
@@ -8,12 +8,13 @@
 
 namespace figwinch {
 
-/// Asks the holder of the reign before for its end and for what it leaves behind, until it answers
-/// or can't act any more. A holder that the log doesn't reach learns of its successor in this way.
-/// Driven by `tick`. Owned by `cell_member` during one reign.
+/// Asks the predecessor to step down and to report its outstanding orders, and retries until the
+/// predecessor answers or can no longer act. This is how a predecessor that is cut off from the log
+/// learns of its successor. Driven by `tick`. Owned by `cell_member` during one leadership term.
 class predecessor_asker {
 public:
-    /// `peers` outlives it; `take` is called at most once, from a reply.
+    /// `peers` must outlive this object. `take` is called at most once, with the predecessor's
+    /// answer.
     predecessor_asker(const clock& time, peer_asker& peers, const reign_view& predecessor,
                       lease_epoch epoch, instant acts_until,
                       std::function<void(const outstanding_orders&)> take);
@@ -33,7 +34,7 @@
     bool answered_ = false;
     bool in_flight_ = false;
     instant next_ask_{};
-    /// Expires with this object: replies that come later are dropped.
+    /// Expires with this object, so that later replies are ignored.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/cell_host/question_codec.h
+++ b/src/cell_host/question_codec.h
@@ -9,24 +9,24 @@
 
 namespace figwinch {
 
-/// What an asker wants to know of a reader.
+/// A query that a host sends to another host's read replica.
 struct job_question {
-    /// How long the asker waits.
+    /// Timeout of the querying host.
     duration patience{};
-    /// A job's state, or how many jobs of a queue wait.
+    /// The job whose state is queried, or the queue whose waiting jobs are counted.
     std::variant<job_id, queue_name> about;
 };
 
 std::string encode_question(const job_question& question);
-/// Nothing on bytes that aren't one.
+/// Returns nullopt if the bytes are malformed.
 std::optional<job_question> decode_question(std::string_view bytes);
 
 std::string encode_job_answer(const job_answer& answer);
-/// `cant_tell` on bytes that aren't one.
+/// Returns `cant_tell` if the bytes are malformed.
 job_answer decode_job_answer(const job_id& id, std::string_view bytes);
 
 std::string encode_waiting_answer(std::optional<std::size_t> waiting);
-/// Nothing on bytes that aren't one.
+/// Returns nullopt if the bytes are malformed.
 std::optional<std::size_t> decode_waiting_answer(std::string_view bytes);
 
 } // namespace figwinch
--- a/src/cell_host/question_server.cpp
+++ b/src/cell_host/question_server.cpp
@@ -7,7 +7,8 @@
 namespace figwinch {
 namespace {
 
-// So that an answer that can't be given reaches the asker while it can still ask elsewhere.
+// Lookups end this long before the querying host's timeout, so that it learns in time that this
+// replica has no answer and can ask another one.
 constexpr duration answer_way = std::chrono::milliseconds(30);
 
 } // namespace
--- a/src/cell_host/question_server.h
+++ b/src/cell_host/question_server.h
@@ -8,10 +8,11 @@
 
 namespace figwinch {
 
-/// Answers other hosts' questions from this host's copy of the log. Owned by `cell_member`.
+/// Answers other hosts' job queries from this host's read replica. Owned by `cell_member`.
 class question_server {
 public:
-    /// `reads`: whether this host keeps a copy. Both outlive it.
+    /// `reads`: whether this host has a complete replica. `time` and `jobs` must outlive this
+    /// object.
     question_server(const clock& time, job_source& jobs, std::function<bool()> reads)
         : time_(time), jobs_(jobs), reads_(std::move(reads)) {}
 
--- a/src/cell_host/reading_role.cpp
+++ b/src/cell_host/reading_role.cpp
@@ -7,11 +7,12 @@
 namespace figwinch {
 namespace {
 
-// Strong hosts claim a vacant reign within this.
+// Hosts with enough CPU to be preferred as coordinator claim a vacant leadership within this time.
 constexpr duration least_patience = std::chrono::seconds(2);
-// Hosts that begin to read load the whole state: together more than the log can send at once.
+// Spreads hosts that start replicas: each loads a full snapshot, and all of them together are more
+// than the log can send at once.
 constexpr duration patience_spread = std::chrono::seconds(3);
-// A new coordinator knows all hosts after a second.
+// How long a host waits for its role. A new coordinator has heard from all hosts after a second.
 constexpr duration word_patience = std::chrono::seconds(3);
 constexpr duration own_decision_kept = std::chrono::seconds(10);
 
--- a/src/cell_host/reading_role.h
+++ b/src/cell_host/reading_role.h
@@ -6,23 +6,25 @@
 
 namespace figwinch {
 
-/// Whether this host keeps a copy of the cell's jobs or asks readers. The coordinator tells; a host
-/// that nobody tells, or whose readers are all gone, reads for itself. Hosts that begin to read
-/// without having been told do so at different times. Owned by `cell_member`.
+/// Decides whether this host keeps a read replica of the cell's jobs or queries other hosts'
+/// replicas. The coordinator assigns the role. Without a coordinator, or if none of the replicas
+/// answers, a host starts a replica on its own, after a delay that differs between hosts. Owned by
+/// `cell_member`.
 class reading_role {
 public:
-    /// `self` spreads hosts in time.
+    /// A hash of `self` determines this host's delay.
     reading_role(const clock& time, const incarnation_id& self);
 
     bool reads() const { return reads_; }
-    /// Whether a coordinator is about to tell this host its part: nothing is loaded meanwhile.
+    /// Whether a coordinator is about to assign this host its role, so that loading a replica
+    /// should wait.
     bool awaits_word() const;
     const reader_list& readers() const { return readers_; }
-    /// The coordinator's word.
+    /// Applies the role and the list of replicas in a coordinator's reply.
     void take(const offer_reply& reply);
-    /// `vacant`: the log shows no coordinator.
+    /// `vacant`: whether the log shows that there is no coordinator.
     void tick(bool vacant);
-    /// No reader could answer a question, or one did.
+    /// Reports that no replica could answer a query, or that one did.
     void note_unanswered();
     void note_answered() { unanswered_since_.reset(); }
 
@@ -33,13 +35,13 @@
     const clock& time_;
     duration patience_;
     bool reads_ = true;
-    /// When a coordinator first replied, and whether one has told this host its part.
+    /// When a coordinator first replied, and whether one has assigned this host a role.
     std::optional<instant> coordinator_heard_at_;
     bool told_ = false;
     reader_list readers_;
     std::optional<instant> vacant_since_;
     std::optional<instant> unanswered_since_;
-    /// Reads until then, whatever it is told.
+    /// Keeps the replica that it started on its own until then, whatever role is assigned.
     instant own_until_{};
 };
 
--- a/src/cell_host/routed_jobs.h
+++ b/src/cell_host/routed_jobs.h
@@ -6,11 +6,12 @@
 
 namespace figwinch {
 
-/// Answers from this host's own copy while that is whole, and otherwise by asking others. Owned by
-/// `cell_member`.
+/// Looks up jobs in this host's read replica while that is complete, and otherwise on other hosts.
+/// Owned by `cell_member`.
 class routed_jobs final : public job_source {
 public:
-    /// `uses_own`: which of the two answers a question that comes now. All outlive it.
+    /// `uses_own`: whether a new lookup goes to `own` rather than to `others`. Both sources must
+    /// outlive this object.
     routed_jobs(job_source& own, job_source& others, std::function<bool()> uses_own)
         : own_(own), others_(others), uses_own_(std::move(uses_own)) {}
 
--- a/src/cell_host/shared_writer.h
+++ b/src/cell_host/shared_writer.h
@@ -8,32 +8,34 @@
 
 namespace figwinch {
 
-/// What became of records that were handed to the cell's writer.
+/// Outcome of handing records over to the cell's shared writer.
 struct handover_result {
     enum class kind {
         stored,
-        /// Certainly not in the log, and never will be.
+        /// The records aren't in the log and never will be.
         not_stored,
-        /// The other host doesn't write for others: it has done nothing.
+        /// The other host isn't the shared writer and appended nothing.
         not_taken,
+        /// The records may be in the log or may still be appended.
         unknown,
     };
     kind outcome = kind::unknown;
-    /// Of the first record.
+    /// Offset of the first record, if stored.
     std::uint64_t offset = 0;
-    /// What the writer's newest append took.
+    /// Latency of the writer's most recent append.
     duration append{};
 };
 
-/// The one host of the cell that appends for all while the log is slow, as seen by another.
+/// Hands records over to the cell's shared writer: the one host that appends for all hosts while
+/// the log is slow, so that their appends don't queue behind one another.
 class shared_writer {
 public:
     using handler = std::function<void(const handover_result&)>;
 
     virtual ~shared_writer() = default;
-    /// Whether there is one, other than this host, that is worth asking.
+    /// Whether another host is the shared writer and isn't known to be unresponsive.
     virtual bool is_open() const = 0;
-    /// Calls back once, within `patience`, and as soon as the writer seems to be gone.
+    /// Calls back once, within `patience`, and earlier if the writer is found unresponsive.
     virtual void hand(const std::vector<stored_record>& records, duration patience,
                       handler done) = 0;
 };
--- a/src/cell_host/worker_list.h
+++ b/src/cell_host/worker_list.h
@@ -7,16 +7,17 @@
 
 namespace figwinch {
 
-/// The platform's list of workers, folded from its stream. Workers write their entry again and
-/// again; one that says nothing new isn't decoded and changes nothing. Owned by `cell_member`.
+/// The platform's list of workers, built from the records of the workers stream. Workers rewrite
+/// their entries periodically; an entry with the digest of the one before is neither decoded nor
+/// counted as a change. Owned by `cell_member`.
 class worker_list {
 public:
     explicit worker_list(const cell_platform& platform) : platform_(platform) {}
 
     void take(const stored_record& record);
-    /// Whether something has changed since the last call.
+    /// Whether the list has changed since the last call.
     bool take_changed();
-    /// In the order of ids.
+    /// All workers, sorted by ID.
     std::vector<worker_listing> rows() const;
 
 private:
