--- a/tests/cell_host/called_host.h
+++ b/tests/cell_host/called_host.h
@@ -11,7 +11,7 @@
 
 namespace figwinch {
 
-/// A whole host without sockets to its platform, and a client that calls it over HTTP.
+/// A complete `cell_host` on a fake platform, and an HTTP client of its job API.
 class called_host {
 public:
     event_loop loop;
@@ -39,7 +39,7 @@
         const auto timer = loop.after(span, [this] { loop.stop(); });
         loop.run();
     }
-    /// A request about a job of the one queue, of a caller who waits for `patience`.
+    /// A request about a job of the only queue, from a caller with a timeout of `patience`.
     static http_request request_about(const std::string& job, http_method method,
                                       duration patience) {
         http_request request;
@@ -52,7 +52,7 @@
     }
 
 private:
-    // Other tests on this machine listen on other addresses.
+    // A loopback address derived from the process ID, so that tests run in parallel don't collide.
     static std::string own_address() {
         constexpr int bits = 8;
         constexpr int mask = 0xff;
--- a/tests/cell_host/caller_patience_test.cpp
+++ b/tests/cell_host/caller_patience_test.cpp
@@ -18,7 +18,8 @@
     bool is_open() const override { return !sent; }
 };
 
-/// How long callers' requests are held, by a clock that a test sets.
+/// Tests when callers' requests are answered relative to the callers' timeouts, with a manual
+/// clock.
 class caller_patience_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(caller_patience_test);
     CPPUNIT_TEST(a_question_ends_before_its_caller_gives_up);
@@ -33,12 +34,12 @@
     std::optional<cell_config> config_ = platform_.decode_config("");
     intake_writer writer_{{time_, platform_.log(), [](const stored_record&) {}, [] { return true; },
                            [](const auto&, const auto&) {}}};
-    // No read of the log ends.
+    // Reads of the log never complete.
     local_jobs jobs_{time_, state_, [](const std::function<void(bool)>&) {}};
     job_front front_{{time_, platform_.dialect(), config_, state_, jobs_, writer_,
                       [] { return true; }, [](duration) {}}};
 
-    /// What a caller with `patience` has been told `after` its request.
+    /// The response that a caller with a timeout of `patience` has got by `after` its request.
     std::optional<http_response> ask(http_method method, milliseconds patience,
                                      milliseconds after) {
         platform_.held().held = {cell_stream::intake};
@@ -56,7 +57,7 @@
     }
 
 public:
-    /// Guards against questions of callers in a hurry that are held until they have given up.
+    /// Guards against queries with short timeouts that are answered only after the timeout.
     void a_question_ends_before_its_caller_gives_up() {
         for (const int patience : {0, 1, 100, 200, 299, 300, 400, 3000}) {
             const auto answer =
@@ -65,13 +66,14 @@
             CPPUNIT_ASSERT_EQUAL(503, answer->status);
         }
     }
-    /// Guards against the same of submissions, which stay in doubt.
+    /// Guards against submissions that are answered only after the caller's timeout. The outcome is
+    /// unknown then, because the append is still in flight.
     void a_submission_ends_before_its_caller_gives_up() {
         const auto answer = ask(http_method::post, milliseconds(200), milliseconds(199));
         CPPUNIT_ASSERT(answer.has_value());
         CPPUNIT_ASSERT_EQUAL(504, answer->status);
     }
-    /// Guards against refusals that come long before they have to.
+    /// Guards against queries that are refused long before the caller's timeout.
     void a_patient_callers_question_waits() {
         CPPUNIT_ASSERT(!ask(http_method::get, milliseconds(3000), milliseconds(2699)).has_value());
     }
--- a/tests/cell_host/cell_host_test.cpp
+++ b/tests/cell_host/cell_host_test.cpp
@@ -15,7 +15,7 @@
 constexpr int status_in_doubt = 504;
 constexpr duration patience = milliseconds(800);
 
-/// A whole host without sockets to its platform, called over HTTP.
+/// Tests a complete `cell_host` on a fake platform through its HTTP API.
 class cell_host_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(cell_host_test);
     CPPUNIT_TEST(a_question_is_answered_in_time_while_a_load_is_on_its_way);
@@ -26,7 +26,7 @@
 
     called_host host_;
 
-    /// The answer that comes within the caller's patience.
+    /// The response, if one arrives before the caller's timeout.
     std::optional<http_response> ask(http_method method,
                                      const std::string& job = "0123456789abcdef") {
         std::optional<call_result> result;
@@ -48,20 +48,22 @@
 
 public:
     void tearDown() override { host_.end(); }
-    /// Guards against a question that is held until its caller has given up.
+    /// Guards against a status query that isn't answered before its caller's timeout because the
+    /// host's snapshot load is still in progress.
     void a_question_is_answered_in_time_while_a_load_is_on_its_way() {
         host_.platform.held().held = {cell_stream::intake};
         host_.start();
         assert_refused(ask(http_method::get));
     }
-    /// Guards against a cancellation that is held until its caller has given up.
+    /// Guards against a cancellation that isn't answered before its caller's timeout because the
+    /// host's snapshot load is still in progress.
     void a_cancellation_is_answered_in_time_while_a_load_is_on_its_way() {
         host_.platform.held().held = {cell_stream::intake};
         host_.start();
         assert_refused(ask(http_method::del));
     }
-    /// Guards against a submission that is held until its caller has given up, and against telling
-    /// it that the job never runs while its append may still be stored.
+    /// Guards against a submission that isn't answered before its caller's timeout, and against a
+    /// refusal, which promises that the job never runs, while its append may still be stored.
     void a_submission_is_answered_in_time_while_its_append_is_on_its_way() {
         host_.start();
         host_.platform.held().held = {cell_stream::intake};
@@ -69,8 +71,8 @@
         CPPUNIT_ASSERT(answer.has_value());
         CPPUNIT_ASSERT_EQUAL(status_in_doubt, answer->status);
     }
-    /// Guards against a submission that is handed to a log which can't take it in its caller's
-    /// time: it would end in doubt, where a refusal is certain.
+    /// Guards against a submission that is appended although the log is too slow to store it before
+    /// its caller's timeout: its outcome would be unknown, where a refusal is definite.
     void a_submission_that_a_slow_log_cant_take_in_time_is_refused_at_once() {
         host_.start();
         host_.platform.held().service = milliseconds(600);
--- a/tests/cell_host/fake_platform.h
+++ b/tests/cell_host/fake_platform.h
@@ -11,7 +11,7 @@
 
 namespace figwinch {
 
-/// The one queue that a `fake_platform` configures.
+/// The only queue in the configuration of `fake_platform`.
 inline queue_config fake_queue() {
     queue_config queue;
     queue.name = queue_name("gate");
@@ -21,16 +21,16 @@
     return queue;
 }
 
-/// A log whose streams a test holds: calls to them stay unanswered until they are released. The
-/// others are empty, but for the operators' configuration. Nobody is elected.
+/// A log that never answers calls to the streams in `held`. The others are empty except for the
+/// operators' configuration. Appends to the election stream fail, so no host becomes coordinator.
 class held_log final : public durable_log {
 public:
     explicit held_log(event_loop& loop) : loop_(loop) {}
 
     std::set<cell_stream> held;
-    /// What an append takes.
+    /// Service time of an append.
     duration service{};
-    /// Appends to the intake stream have so many records in all.
+    /// Number of records appended to the intake stream.
     std::size_t appended = 0;
 
     void append(cell_stream stream, const std::vector<stored_record>& records, const append_guard&,
@@ -71,7 +71,7 @@
     std::unique_ptr<event_handle> serving_;
 };
 
-/// Bodies are ignored; the `Patience-Ms` header says how long a caller waits.
+/// Ignores bodies; the header `Patience-Ms` holds the caller's timeout.
 class fake_dialect final : public job_dialect {
 public:
     absl::StatusOr<job_spec> decode_submission(std::string_view) const override {
@@ -92,7 +92,7 @@
     }
 };
 
-/// A platform without workers, on a log that a test holds.
+/// A platform without workers, on a `held_log`.
 class fake_platform : public cell_platform, public worker_orders, public worker_advisor {
 public:
     explicit fake_platform(event_loop& loop) : log_(loop) {}
--- a/tests/cell_host/intake_writer_test.cpp
+++ b/tests/cell_host/intake_writer_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr duration patience = milliseconds(2700);
 
-/// Callers' jobs on their way into a log that is slow, silent or lossy.
+/// Tests `intake_writer` on a log that is slow, unresponsive or loses replies.
 class intake_writer_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(intake_writer_test);
     CPPUNIT_TEST(an_append_that_waits_in_the_log_is_not_sent_again);
@@ -36,8 +36,8 @@
     }
 
 public:
-    /// Guards against a repeat that doubles the load of a slow log while the first append still
-    /// waits there: the connection ends, the append doesn't.
+    /// Guards against a retry that doubles the load of a slow log: the connection of the first
+    /// append times out, but the append itself still waits in the log's queue.
     void an_append_that_waits_in_the_log_is_not_sent_again() {
         sim::intake_host host(time_, store_);
         time_.run_for(milliseconds(100));
@@ -48,7 +48,8 @@
         assert_told(intake_outcome::stored, *answer);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stored_records());
     }
-    /// Guards against a job that is appended twice, or told in doubt, because an answer was lost.
+    /// Guards against a job that is appended twice, or reported with an unknown outcome, because
+    /// the reply to its append was lost.
     void a_lost_answer_is_found_in_the_stream() {
         sim::intake_host host(time_, store_, 0);
         time_.run_for(milliseconds(100));
@@ -61,7 +62,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stored_records());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, host.writer.counts().settled_by_read);
     }
-    /// Guards against callers that are held to their deadlines while nothing of the log answers.
+    /// Guards against callers that wait until their deadlines while the log answers no call.
     void a_silent_log_is_told_before_the_deadline() {
         sim::intake_host host(time_, store_);
         time_.run_for(milliseconds(100));
@@ -75,7 +76,7 @@
         CPPUNIT_ASSERT(behind->outcome.has_value());
         CPPUNIT_ASSERT(behind->at - begun < milliseconds(2000));
     }
-    /// Guards against a host that goes on as in a slow log when the log is fast again.
+    /// Guards against a host that still treats the log as slow after it has become fast again.
     void a_slow_log_is_fast_again_within_a_second() {
         sim::intake_host host(time_, store_);
         const auto one_each_100_ms = [&](int count) {
@@ -94,7 +95,8 @@
         CPPUNIT_ASSERT(!host.writer.pace().is_slow());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, host.writer.pace().times_slow());
     }
-    /// Guards against callers that are held to their deadlines behind an append which takes longer.
+    /// Guards against callers that wait until their deadlines although the append before theirs
+    /// takes longer than that.
     void a_record_that_cant_be_stored_in_time_is_refused_before_the_deadline() {
         sim::intake_host host(time_, store_);
         store_.service[cell_stream::intake] = milliseconds(1500);
@@ -109,7 +111,7 @@
         assert_told(intake_outcome::not_stored, *late);
         CPPUNIT_ASSERT(late->at - begun < milliseconds(100));
     }
-    /// Guards against a caller that is turned away by a log whose queue is full for a moment.
+    /// Guards against a caller that is refused because the log's queue is full for a moment.
     void a_full_log_is_tried_again_while_there_is_time() {
         sim::intake_host host(time_, store_);
         time_.run_for(milliseconds(100));
--- a/tests/cell_host/peer_jobs_test.cpp
+++ b/tests/cell_host/peer_jobs_test.cpp
@@ -14,7 +14,7 @@
 using std::chrono::seconds;
 using kind = job_answer::kind;
 
-/// Jobs that a test knows.
+/// A job source with the jobs that a test sets.
 class known_jobs final : public job_source {
 public:
     std::map<std::string, job_phase> phases;
@@ -36,7 +36,8 @@
     void end_by(instant) override {}
 };
 
-/// A host that keeps no copy, one reader of its own data centre and two of another one.
+/// Tests the lookups of a host without a read replica; there are one replica in its own data centre
+/// and two in another one.
 class peer_jobs_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(peer_jobs_test);
     CPPUNIT_TEST(a_reader_of_the_same_data_centre_answers);
@@ -114,7 +115,7 @@
         readers_["a:1"].reads = false;
         CPPUNIT_ASSERT(ask("j")->known == kind::found);
     }
-    /// Guards against callers that each wait for a reader that is gone.
+    /// Guards against each lookup waiting for the timeout of the same unresponsive replica.
     void a_silent_reader_is_asked_last_for_a_while() {
         peers_.hosts.erase("a:1");
         ask("j");
@@ -129,7 +130,7 @@
     void a_job_that_the_log_doesnt_have_is_unknown() {
         CPPUNIT_ASSERT(ask("other")->known == kind::unknown);
     }
-    /// Guards against "unknown" where nobody could be asked.
+    /// Guards against reporting a job as unknown when no replica could be asked.
     void without_any_answer_it_cant_be_told() {
         peers_.hosts.clear();
         CPPUNIT_ASSERT(ask("j")->known == kind::cant_tell);
--- a/tests/cell_host/planned_stop_test.cpp
+++ b/tests/cell_host/planned_stop_test.cpp
@@ -11,8 +11,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A whole host that stops while the log is silent, called over HTTP by callers that would wait
-/// until long after its end.
+/// Tests a complete `cell_host` that stops while the log is unresponsive, with HTTP callers whose
+/// timeouts end long after the host's exit.
 class planned_stop_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(planned_stop_test);
     CPPUNIT_TEST(a_question_that_came_before_the_stop_is_answered);
@@ -23,7 +23,7 @@
 
     static constexpr int status_unavailable = 503;
     static constexpr int status_in_doubt = 504;
-    // The host's end is bound to come 800 ms after the begin of its stop.
+    // Forces the host's exit 800 ms after the stop begins.
     static constexpr duration grace = milliseconds(1500);
 
     called_host host_;
@@ -43,7 +43,7 @@
                                host_.loop.stop();
                            });
     }
-    /// The status that a caller gets before the host ends.
+    /// The HTTP status that the caller gets before the host exits.
     std::optional<int> status() {
         host_.loop.run();
         if (!result_ || result_->outcome != call_outcome::answered)
@@ -67,19 +67,21 @@
 
 public:
     void tearDown() override { host_.end(); }
-    /// Guards against a question that is cut when the host that holds it has to end.
+    /// Guards against a query that is cut off without a response when the host is forced to exit.
     void a_question_that_came_before_the_stop_is_answered() {
         CPPUNIT_ASSERT(ask_and_stop(http_method::get) == status_unavailable);
     }
-    /// Guards against the same of one that was on its way while the balancer learned of the stop.
+    /// Guards against cutting off a query that was sent before the load balancer noticed the stop.
     void a_question_that_comes_late_is_answered() {
         CPPUNIT_ASSERT(stop_and_ask(http_method::get) == status_unavailable);
     }
-    /// Guards against the same of a submission, and against telling that the job never runs while
-    /// its append may still be stored.
+    /// Guards against cutting off a submission, and against a refusal, which promises that the job
+    /// never runs, while its append may still be stored.
     void a_submission_that_came_before_the_stop_is_answered() {
         CPPUNIT_ASSERT(ask_and_stop(http_method::post) == status_in_doubt);
     }
+    /// Guards against cutting off a submission that was sent before the load balancer noticed the
+    /// stop.
     void a_submission_that_comes_late_is_answered() {
         CPPUNIT_ASSERT(stop_and_ask(http_method::post) == status_in_doubt);
     }
--- a/tests/cell_host/reading_role_test.cpp
+++ b/tests/cell_host/reading_role_test.cpp
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// When a host keeps a copy of the cell's jobs.
+/// Tests when a host keeps a read replica of the cell's jobs.
 class reading_role_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(reading_role_test);
     CPPUNIT_TEST(a_host_reads_until_it_is_told);
@@ -48,7 +48,8 @@
         role_.take(told(reading_part::reader));
         CPPUNIT_ASSERT(role_.reads());
     }
-    /// Guards against a cell in which nobody can follow a coordinator, as all that read are lost.
+    /// Guards against a cell that stays without a coordinator because all hosts with replicas,
+    /// which alone may succeed it, are lost.
     void a_host_without_a_coordinator_reads() {
         role_.take(told(reading_part::asker));
         run_for(role_, seconds(20), false);
@@ -58,7 +59,7 @@
         run_for(role_, seconds(5), true);
         CPPUNIT_ASSERT(role_.reads());
     }
-    /// Guards against hosts that all load in the same moment.
+    /// Guards against hosts that all load a snapshot at the same moment.
     void hosts_begin_to_read_at_different_times() {
         std::set<int> begins;
         for (int host = 0; host < 20; ++host) {
@@ -81,14 +82,16 @@
         role_.note_unanswered();
         run_for(role_, seconds(6), false);
         CPPUNIT_ASSERT(role_.reads());
-        // A coordinator that reaches the readers doesn't know that this host doesn't.
+        // The coordinator may reach the replicas and not know that this host can't, so its
+        // assignment is ignored for a time.
         role_.take(told(reading_part::asker));
         CPPUNIT_ASSERT(role_.reads());
         run_for(role_, seconds(10), false);
         role_.take(told(reading_part::asker));
         CPPUNIT_ASSERT(!role_.reads());
     }
-    /// Guards against hosts that load after a restart of all and are told to drop it.
+    /// Guards against hosts that load a replica after a restart of the whole cell and are then
+    /// assigned to drop it.
     void a_host_that_a_coordinator_is_about_to_tell_waits() {
         CPPUNIT_ASSERT(!role_.awaits_word());
         role_.take(told(reading_part::undecided));
--- a/tests/cell_host/shared_writer_test.cpp
+++ b/tests/cell_host/shared_writer_test.cpp
@@ -17,7 +17,7 @@
 constexpr duration patience = milliseconds(2700);
 constexpr std::size_t hosts = 40;
 
-/// A cell whose log is slow, and its hosts' one writer.
+/// Tests handovers to the shared writer in a cell whose log is slow.
 class shared_writer_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(shared_writer_test);
     CPPUNIT_TEST(forty_hosts_are_served_by_a_log_of_ten_appends_a_second);
@@ -40,7 +40,7 @@
     std::vector<std::shared_ptr<sim::told>> told_;
     int jobs_ = 0;
 
-    /// The first host writes for all.
+    /// Starts `count` hosts; the first one is the shared writer.
     void start(std::size_t count) {
         for (std::size_t i = 0; i < count; ++i)
             hosts_.push_back(std::make_unique<sim::intake_host>(time_, store_));
@@ -54,7 +54,7 @@
         told_.push_back(hosts_[host]->submit(std::to_string(jobs_++), patience));
         return told_.back();
     }
-    /// Each host gets a job every 400 ms.
+    /// Submits a job at each host in turn, 10 ms apart: with 40 hosts, every 400 ms at each.
     void load_for(duration span) {
         for (const instant end = time_.now() + span; time_.now() < end;) {
             for (std::size_t i = 0; i < hosts_.size(); ++i) {
@@ -71,8 +71,8 @@
     }
 
 public:
-    /// Guards against hosts whose small appends queue for one another in a log that is slow: half
-    /// of them are refused and the others are told of doubt.
+    /// Guards against hosts whose small appends queue behind one another in a slow log, which
+    /// refuses half of the jobs and leaves the outcome of the others unknown.
     void forty_hosts_are_served_by_a_log_of_ten_appends_a_second() {
         start(hosts);
         load_for(seconds(1));
@@ -86,7 +86,7 @@
         CPPUNIT_ASSERT_EQUAL(count(intake_outcome::stored),
                              store_.of(cell_stream::intake).newest.size());
     }
-    /// Guards against a cell that goes on handing records over when its log is fast.
+    /// Guards against hosts that go on handing records over after the log has become fast again.
     void a_cell_is_fast_again_within_a_second_of_its_log() {
         start(hosts);
         load_for(seconds(1));
@@ -101,8 +101,8 @@
         time_.run_for(milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(told_.size(), count(intake_outcome::stored));
     }
-    /// Guards against hosts that learn of a slow log only by an append of their own: the first of
-    /// each fills the queue before the one writer.
+    /// Guards against hosts that detect a slow log only by an append of their own: the first append
+    /// of each host would fill the log's queue ahead of the shared writer's.
     void a_host_that_reads_late_adds_nothing_to_the_queue() {
         start(2);
         load_for(seconds(1));
@@ -114,8 +114,8 @@
         CPPUNIT_ASSERT(answer->outcome == intake_outcome::stored);
         CPPUNIT_ASSERT_EQUAL(appends, hosts_[1]->log.appends);
     }
-    /// Guards against a writer that refuses all records of a cell because its first append waited
-    /// behind the other hosts', which now append nothing.
+    /// Guards against a shared writer that refuses all records of the cell because its first append
+    /// queued behind those of other hosts, which no longer append.
     void a_writer_doesnt_refuse_by_a_queue_that_is_gone() {
         start(2);
         store_.service[cell_stream::intake] = milliseconds(1500);
@@ -132,8 +132,8 @@
         time_.run_for(seconds(1));
         CPPUNIT_ASSERT(outcome == intake_outcome::stored);
     }
-    /// Guards against records that were handed to a process which ended before it answered: they
-    /// may be in the log, so that they must not be called "never runs".
+    /// Guards against records whose outcome stays unknown, or that are reported as not stored, when
+    /// the shared writer is killed after it has sent their append and before it has replied.
     void a_writer_killed_between_append_and_answer_leaves_no_doubt() {
         start(3);
         load_for(seconds(1));
@@ -147,7 +147,8 @@
         time_.run_for(seconds(3));
         CPPUNIT_ASSERT(answer->outcome == intake_outcome::stored);
     }
-    /// Guards against records that nobody appends because the host asked no longer coordinates.
+    /// Guards against records that nobody appends because they were handed over to a host that no
+    /// longer coordinates.
     void a_host_that_doesnt_write_leaves_records_to_their_own_host() {
         class refusing final : public shared_writer {
         public:
@@ -169,7 +170,8 @@
         CPPUNIT_ASSERT_EQUAL(1, other.asked);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, count(intake_outcome::stored));
     }
-    /// Guards against a caller that is told of doubt because its host's request never arrived.
+    /// Guards against a caller that gets an unknown outcome because its host's append request never
+    /// reached the log.
     void a_request_that_was_lost_is_made_good_by_the_writer() {
         start(2);
         load_for(seconds(1));
@@ -181,7 +183,7 @@
         CPPUNIT_ASSERT(answer->outcome == intake_outcome::stored);
         CPPUNIT_ASSERT(answer->at - begun < seconds(1));
     }
-    /// Guards against a dropped key that arrives as an empty value.
+    /// Guards against the deletion of a key that arrives as an empty value.
     void records_are_the_same_after_the_way_over_the_bus() {
         const auto read = decode_handover(
             encode_handover({seconds(2), {{"ja", std::string("\0x", 2), 0}, {"jb", {}, 0}}}));
@@ -201,10 +203,11 @@
 private:
     struct handed_over {
         handover_result result;
-        /// Whether the writer is asked again.
+        /// Whether the writer would still be used for the next handover.
         bool open = false;
     };
-    /// Hands a record over a real bus to `serve`; how that ended.
+    /// Hands a record over on a real bus to a host that handles requests with `serve`; returns the
+    /// outcome.
     static handed_over hand_over(const bus::request_handler& serve, duration wait) {
         event_loop loop;
         system_clock time;
@@ -237,8 +240,8 @@
         CPPUNIT_ASSERT(ended.result.outcome == handover_result::kind::stored);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, store_.of(cell_stream::intake).records.size());
     }
-    /// Guards against hosts that turn to their own appends, and fill the log's queue, because the
-    /// writer's append took longer than a caller waits.
+    /// Guards against hosts that switch to appends of their own, and fill the log's queue, because
+    /// the writer's append took longer than a caller's timeout.
     void a_writer_whose_log_is_slow_is_asked_again() {
         const handed_over ended = hand_over(
             [](const bus_sender&, std::string_view body, const auto& reply) {
@@ -249,7 +252,7 @@
         CPPUNIT_ASSERT(ended.result.outcome == handover_result::kind::unknown);
         CPPUNIT_ASSERT(ended.open);
     }
-    /// Guards against callers that are held to their deadlines by a writer that is frozen.
+    /// Guards against callers that wait until their deadlines for a shared writer that hangs.
     void a_writer_that_is_silent_is_given_up_before_callers_do() {
         const instant begun = system_clock().now();
         const handed_over ended =
--- a/tests/cell_host/sim_intake.h
+++ b/tests/cell_host/sim_intake.h
@@ -11,13 +11,14 @@
 
 namespace figwinch::sim {
 
-/// What a caller was told, and when.
+/// The outcome that a caller got, and when.
 struct told {
     std::optional<intake_outcome> outcome;
     instant at{};
 };
 
-/// One host's writer of callers' jobs, with its way to the store and a follower of the stream.
+/// The `intake_writer` of one simulated host, with its connection to the log and a follower of the
+/// intake stream.
 class intake_host {
 public:
     intake_host(sim_time& time, sim_store& store, double random = 1)
@@ -34,7 +35,7 @@
     }
     ~intake_host() { log.kill(); }
 
-    /// A caller hands in a job and waits for `patience`.
+    /// Submits a job for a caller with a timeout of `patience`.
     std::shared_ptr<told> submit(const std::string& job, duration patience) {
         auto answer = std::make_shared<told>();
         writer.write({{"j" + job, "what it is", 0}}, time_.now() + patience,
@@ -59,7 +60,7 @@
     sim_time& time_;
 
 public:
-    /// Its process.
+    /// Whether the host's process has been killed.
     bool dead = false;
     sim_log log;
 
@@ -73,8 +74,8 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// The bus between a host and the cell's writer; a message takes 2 ms. A writer that is gone is
-/// noticed after a second.
+/// A simulated bus between a host and the shared writer, with a latency of 2 ms. A writer that was
+/// killed is detected after a second.
 class sim_bus_writer final : public shared_writer {
 public:
     sim_bus_writer(sim_time& time, intake_host& writer) : time_(time), writer_(writer) {}
--- a/tests/cell_host/worker_list_test.cpp
+++ b/tests/cell_host/worker_list_test.cpp
@@ -8,7 +8,7 @@
 namespace figwinch {
 namespace {
 
-/// Entries are "STATE SEQUENCE"; the state "unreadable" can't be decoded.
+/// Counts decoded entries. An entry is "STATE SEQUENCE"; the state "unreadable" fails to decode.
 class counting_platform final : public fake_platform {
 public:
     using fake_platform::fake_platform;
@@ -34,7 +34,7 @@
     }
 };
 
-/// What of a stream of entries reaches the coordinator.
+/// Tests which entries of the workers stream change the list that the coordinator gets.
 class worker_list_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(worker_list_test);
     CPPUNIT_TEST(an_entry_that_says_nothing_new_costs_no_decoding);
@@ -58,7 +58,7 @@
         CPPUNIT_ASSERT(list_.take_changed());
         platform_.decoded = 0;
     }
-    /// Guards against a coordinator that spends its time on entries that repeat what it knows.
+    /// Guards against a coordinator that spends its CPU time on entries without changes.
     void an_entry_that_says_nothing_new_costs_no_decoding() {
         for (int sequence = 2; sequence < 10; ++sequence)
             write("w1", "ready " + std::to_string(sequence));
@@ -66,14 +66,16 @@
         CPPUNIT_ASSERT(!list_.take_changed());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, list_.rows().size());
     }
-    /// Guards against a new round of placement for each read of the stream.
+    /// Guards against a placement round after each read of the stream, on platforms without
+    /// digests.
     void an_entry_that_is_decoded_to_the_same_changes_nothing() {
         platform_.tells_digests = false;
         write("w1", "ready 2");
         CPPUNIT_ASSERT_EQUAL(1, platform_.decoded);
         CPPUNIT_ASSERT(!list_.take_changed());
     }
-    /// Guards against starts on a worker whose notice was passed over.
+    /// Guards against starting tasks on a worker because its notice of leaving was skipped as
+    /// unchanged.
     void a_notice_changes_the_list() {
         write("w1", "leaving 2");
         CPPUNIT_ASSERT(list_.take_changed());
@@ -82,7 +84,7 @@
         CPPUNIT_ASSERT(list_.take_changed());
         CPPUNIT_ASSERT(!list_.rows().front().leaving);
     }
-    /// Guards against starts on a worker of which nobody knows what it says.
+    /// Guards against starting tasks on a worker whose current entry can't be decoded.
     void an_entry_that_cant_be_read_names_no_worker() {
         write("w1", "unreadable 2");
         CPPUNIT_ASSERT(list_.take_changed());
@@ -91,7 +93,8 @@
         CPPUNIT_ASSERT(list_.take_changed());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, list_.rows().size());
     }
-    /// Guards against a worker that stays away because its entry is the one from before.
+    /// Guards against a worker that is missing from the list after it was deleted and came back
+    /// with the same entry.
     void a_worker_that_comes_back_is_listed() {
         drop("w1");
         CPPUNIT_ASSERT(list_.take_changed());
