--- a/src/cell_host/job_front.cpp
+++ b/src/cell_host/job_front.cpp
@@ -35,16 +35,17 @@
 
 void job_front::handle(const http_request& request, const responder& answer) {
     if (!with_.config)
-        return refuse(answer, result_code::state_not_recovered, "no configuration yet", "");
+        return refuse(answer, result_code::state_not_recovered, "no configuration loaded yet", "");
     const std::string_view host = request.headers.find("Host").value_or("");
     const queue_config* const queue = with_.config->match(without_port(host), request.path);
     if (queue == nullptr)
-        return refuse(answer, result_code::unknown_path, "no such queue", "");
+        return refuse(answer, result_code::unknown_path, "no queue matches the host and path", "");
     const std::string rest = request.path.substr(queue->path_prefix.size());
     if (rest.empty() && request.method == http_method::get)
         return show_queue(*queue, request, answer);
     if (!with_.dialect.is_job_id(rest))
-        return refuse(answer, result_code::invalid_value, "no job id", rest);
+        return refuse(answer, result_code::invalid_value, "path does not end in a valid job ID",
+                      rest);
     const job_id id(rest);
     switch (request.method) {
     case http_method::post:
@@ -54,7 +55,8 @@
     case http_method::del:
         return cancel(id, request, answer);
     default:
-        return refuse(answer, result_code::malformed_request, "no such method here", rest);
+        return refuse(answer, result_code::malformed_request,
+                      "method not allowed, expected POST, GET or DELETE", rest);
     }
 }
 
@@ -70,10 +72,11 @@
     }
     // Fails at once instead of letting the caller wait, because another host may reach the log.
     if (!with_.log_answers())
-        return refuse(answer, result_code::log_unavailable, "the log doesn't answer", id.str());
+        return refuse(answer, result_code::log_unavailable, "log not responding", id.str());
     const instant deadline = deadline_of(request);
     if (with_.time.now() + with_.writer.expected_wait() > deadline)
-        return refuse(answer, result_code::log_unavailable, "the log is slow", id.str());
+        return refuse(answer, result_code::log_unavailable, "log too slow to store the job in time",
+                      id.str());
     job->queue = queue.name;
     job->service = queue.service;
     job->priority = queue.priority;
@@ -117,7 +120,7 @@
                             return found(told.job);
                         if (told.known == job_answer::kind::cant_tell)
                             return refuse(answer, result_code::log_unavailable,
-                                          "can't tell in time", id.str());
+                                          "no up-to-date replica answered in time", id.str());
                         log_event(log_level::info, "job_unknown", {{"job", id.str()}});
                         answer->respond(json_response(status_gone, "{}"));
                     });
@@ -146,7 +149,7 @@
                        [this, id, answer](auto outcome, std::uint64_t) {
                            if (outcome != intake_outcome::stored)
                                return refuse(answer, result_code::log_unavailable,
-                                             "cancellation not stored", id.str());
+                                             "cancellation not stored in the log", id.str());
                            ++counts_.cancelled;
                            log_event(log_level::info, "job_cancelled", {{"job", id.str()}});
                            answer->respond(json_response(status_ok, "{}"));
@@ -159,7 +162,8 @@
     with_.jobs.count_waiting(
         queue.name, deadline_of(request), [this, answer](std::optional<std::size_t> waiting) {
             if (!waiting)
-                return refuse(answer, result_code::log_unavailable, "can't tell in time", "");
+                return refuse(answer, result_code::log_unavailable,
+                              "no up-to-date replica answered in time", "");
             answer->respond(json_response(status_ok, with_.dialect.encode_waiting(*waiting)));
         });
 }
