--- a/bench/cell_worker_list.cpp
+++ b/bench/cell_worker_list.cpp
@@ -56,7 +56,7 @@
 
 void take_all(worker_list& list, const std::vector<stored_record>& records) {
     for (const stored_record& record : records)
-        list.take(record);
+        list.apply(record);
 }
 
 /// Microseconds that a list takes to fold two seconds in turn, for one of them.
@@ -79,8 +79,8 @@
         {time, platform, platform, journal, [&time] { return time.now(); }, [] { return true; },
          [] {}, [](const job_id&, const std::function<void()>&) {}},
         {}, lease_epoch(1), {}, known);
-    coordinates->take_listing(list.rows());
-    return median_seconds(runs, [&] { coordinates->take_listing(list.rows()); }) * 1e6;
+    coordinates->take_listing(list.listings());
+    return median_seconds(runs, [&] { coordinates->take_listing(list.listings()); }) * 1e6;
 }
 
 } // namespace
--- a/src/cell_host/bus_asker.h
+++ b/src/cell_host/bus_asker.h
@@ -12,7 +12,7 @@
     explicit bus_asker(event_loop& loop) : loop_(loop) {}
 
     /// Sets the bus, which must outlive this object.
-    void use(bus& peers) { peers_ = &peers; }
+    void set_bus(bus& peers) { peers_ = &peers; }
     void ask(const std::string& where, std::string body, duration timeout, handler done) override;
 
 private:
--- a/src/cell_host/cell_host.cpp
+++ b/src/cell_host/cell_host.cpp
@@ -14,10 +14,10 @@
 constexpr duration drain_period = std::chrono::milliseconds(20);
 // Served on the metrics port, for figwinchctl.
 constexpr std::string_view status_path = "/cell";
-constexpr duration load_period = std::chrono::seconds(5);
+constexpr duration load_log_period = std::chrono::seconds(5);
 constexpr duration stop_margin = std::chrono::milliseconds(700);
 // Callers' deadlines end this long before the forced exit, so that responses still reach them.
-constexpr duration last_answers = std::chrono::milliseconds(200);
+constexpr duration response_margin = std::chrono::milliseconds(200);
 
 http_server_limits caller_limits() {
     http_server_limits limits;
@@ -26,51 +26,52 @@
     return limits;
 }
 
-member_place place_of(const cell_host_settings& with) {
-    return {to_string(with.bus), data_centre_id(with.data_centre),
-            workers_carried(with.cpu_share, with.link_mbps)};
+member_info member_info_of(const cell_host_settings& settings) {
+    return {to_string(settings.bus), data_centre_id(settings.data_centre),
+            workers_carried(settings.cpu_share, settings.link_mbps)};
 }
 
 } // namespace
 
-cell_host::cell_host(event_loop& loop, cell_platform& platform, const cell_host_settings& with,
+cell_host::cell_host(event_loop& loop, cell_platform& platform, const cell_host_settings& settings,
                      incarnation_id self)
-    : loop_(loop), platform_(platform), with_(with), self_(std::move(self)), asker_(loop),
-      member_(time_, platform, asker_, with.cell, self_, place_of(with), with.cpu_share),
-      front_({time_, platform.dialect(), member_.config(), member_.state(), member_.jobs(),
-              member_.writer(), [this] { return member_.log_answers(); },
-              [this](duration waited) { metrics_.observe_acceptance(waited); }}),
+    : loop_(loop), platform_(platform), settings_(settings), self_(std::move(self)), asker_(loop),
+      member_(time_, platform, asker_, settings.cell, self_, member_info_of(settings),
+              settings.cpu_share),
+      job_api_({time_, platform.job_codec(), member_.config(), member_.state(), member_.jobs(),
+                member_.writer(), [this] { return member_.log_answers(); },
+                [this](duration waited) { metrics_.observe_acceptance(waited); }}),
       handovers_(time_, member_.writer(), [this] {
           return !stopping_ && member_.election().leads() && member_.log_answers();
       }) {
-    telling_load_ = loop_.every(load_period, [this] { log_load(); });
+    load_timer_ = loop_.every(load_log_period, [this] { log_load(); });
     tick();
 }
 
 absl::Status cell_host::listen() {
     auto callers = http_server::listen(
-        loop_, with_.callers.address, with_.callers.port, caller_limits(),
+        loop_, settings_.callers.address, settings_.callers.port, caller_limits(),
         [this](const http_request& request, const std::shared_ptr<http_responder>& answer) {
-            front_.handle(request, answer);
+            job_api_.handle(request, answer);
         });
     if (!callers.ok())
         return callers.status();
     callers_server_ = std::move(*callers);
     auto ready = http_server::listen(
-        loop_, with_.ready.address, with_.ready.port, {},
+        loop_, settings_.ready.address, settings_.ready.port, {},
         [this](const http_request&, const std::shared_ptr<http_responder>& answer) {
-            answer_ready(answer);
+            handle_readiness_check(answer);
         });
     if (!ready.ok())
         return ready.status();
     ready_server_ = std::move(*ready);
     auto metrics = http_server::listen(
-        loop_, with_.metrics.address, with_.metrics.port, {},
+        loop_, settings_.metrics.address, settings_.metrics.port, {},
         [this](const http_request& request, const std::shared_ptr<http_responder>& answer) {
             http_response response;
             response.body = request.path == status_path
-                                ? encode_status(with_.node, member_)
-                                : metrics_.expose(member_, front_.counts(), platform_);
+                                ? encode_status(settings_.node, member_)
+                                : metrics_.expose(member_, job_api_.counts(), platform_);
             answer->respond(std::move(response));
         });
     if (!metrics.ok())
@@ -80,21 +81,22 @@
 }
 
 absl::Status cell_host::listen_to_peers() {
-    auto peers = bus::bind(loop_, time_, with_.bus.address, with_.bus.port, self_);
+    auto peers = bus::bind(loop_, time_, settings_.bus.address, settings_.bus.port, self_);
     if (!peers.ok())
         return peers.status();
     peers_ = std::move(*peers);
     peers_->on_request([this](const bus_sender&, std::string_view message, const auto& reply) {
-        answer_peer(message, reply);
+        handle_peer_message(message, reply);
     });
-    asker_.use(*peers_);
-    writer_ = std::make_unique<bus_writer>(time_, *peers_, [this] { return writer_address(); });
-    member_.writer().hand_to(writer_.get());
+    asker_.set_bus(*peers_);
+    writer_ =
+        std::make_unique<bus_shared_writer>(time_, *peers_, [this] { return writer_address(); });
+    member_.writer().set_shared_writer(writer_.get());
     return absl::OkStatus();
 }
 
-void cell_host::answer_peer(std::string_view message,
-                            const std::function<void(std::string)>& reply) {
+void cell_host::handle_peer_message(std::string_view message,
+                                    const std::function<void(std::string)>& reply) {
     if (message.empty())
         return;
     const std::string_view body = message.substr(1);
@@ -102,13 +104,13 @@
     case peer_message::handover:
         return handovers_.handle(body, reply);
     case peer_message::offer:
-        return reply(member_.take_offer(body));
+        return reply(member_.handle_offer(body));
     case peer_message::exchange:
-        return reply(member_.take_exchange(body));
+        return reply(member_.handle_exchange(body));
     case peer_message::step_down:
-        return reply(member_.take_step_down(body));
+        return reply(member_.handle_step_down(body));
     case peer_message::question:
-        return member_.take_question(body, reply);
+        return member_.handle_query(body, reply);
     }
 }
 
@@ -120,24 +122,25 @@
 }
 
 void cell_host::tick() {
-    load_.note_turn(time_.now());
+    load_logger_.on_tick(time_.now());
     const duration next = member_.tick();
     if (writer_)
         writer_->tick();
-    load_.expect_turn(time_.now() + next);
-    ticking_ = loop_.after(next, [this] { tick(); });
+    load_logger_.set_tick_due(time_.now() + next);
+    tick_timer_ = loop_.after(next, [this] { tick(); });
 }
 
 /// Logs this host's CPU time and call counts since the previous line.
 void cell_host::log_load() {
-    host_load_totals totals{platform_.log_calls(), platform_.order_calls(),  member_.passed_on(),
-                            front_.counts().asked, front_.counts().accepted, {}};
+    host_load_totals totals{platform_.log_calls(),      platform_.order_calls(),
+                            member_.relayed_orders(),   job_api_.counts().queries,
+                            job_api_.counts().accepted, {}};
     for (const cell_stream stream : all_streams)
         totals.reads.at(static_cast<std::size_t>(stream)) = platform_.log_reads(stream);
-    load_.log(totals, member_.links(), member_.coordinating() != nullptr);
+    load_logger_.log(totals, member_.relay_count(), member_.coordinating() != nullptr);
 }
 
-void cell_host::answer_ready(const std::shared_ptr<http_responder>& answer) const {
+void cell_host::handle_readiness_check(const std::shared_ptr<http_responder>& answer) const {
     constexpr int unavailable = 503;
     http_response response;
     response.status = is_ready() ? 200 : unavailable;
@@ -149,27 +152,27 @@
         return;
     log_event(log_level::info, "stopping", {});
     member_.resign();
-    const duration bound = with_.grace - stop_margin;
-    front_.end_by(time_.now() + bound - last_answers);
-    bound_ = loop_.after(bound, [this] {
+    const duration bound = settings_.grace - stop_margin;
+    job_api_.cap_deadlines(time_.now() + bound - response_margin);
+    stop_bound_timer_ = loop_.after(bound, [this] {
         log_event(log_level::error, "stop_bound_reached", {});
-        end();
+        exit_loop();
     });
-    notice_ = loop_.after(drain_notice, [this] { finish_stop(); });
+    drain_notice_timer_ = loop_.after(drain_notice, [this] { drain_requests(); });
 }
 
-void cell_host::finish_stop() {
+void cell_host::drain_requests() {
     callers_server_->stop_accepting();
-    draining_ = loop_.every(drain_period, [this] {
+    drain_timer_ = loop_.every(drain_period, [this] {
         if (callers_server_->in_flight() == 0)
-            end();
+            exit_loop();
     });
 }
 
 /// Gives up a resignation that isn't stored yet: it was retried while callers were served, and the
 /// lease renewals missed in that time have let another host claim leadership, unless no host
 /// reaches the log.
-void cell_host::end() {
+void cell_host::exit_loop() {
     member_.abandon_resignation();
     loop_.stop();
 }
--- a/src/cell_host/cell_host_settings.cpp
+++ b/src/cell_host/cell_host_settings.cpp
@@ -62,27 +62,27 @@
 }
 
 cell_host_settings read_cell_flags() {
-    cell_host_settings with;
-    with.node = absl::GetFlag(FLAGS_node);
-    with.data_centre = absl::GetFlag(FLAGS_data_centre);
-    with.callers = read_endpoint(FLAGS_callers);
-    with.ready = read_endpoint(FLAGS_ready);
-    with.bus = read_endpoint(FLAGS_bus);
-    with.metrics = read_endpoint(FLAGS_metrics);
-    with.log = read_endpoint(FLAGS_log);
-    with.advisor = parse_endpoint(absl::GetFlag(FLAGS_advisor));
-    with.cpu_share = absl::GetFlag(FLAGS_cpu_share);
-    with.link_mbps = absl::GetFlag(FLAGS_link_mbps);
-    with.grace = std::chrono::seconds(absl::GetFlag(FLAGS_grace_s));
-    with.cell.max_hold = read_ms(FLAGS_max_hold_ms);
-    with.cell.stop_bound = read_ms(FLAGS_stop_ms);
-    with.cell.status_kept = std::chrono::seconds(absl::GetFlag(FLAGS_status_s));
-    with.cell.gang_wait = read_ms(FLAGS_gang_ms);
-    with.cell.leave_notice = read_ms(FLAGS_leave_ms);
-    with.cell.evacuation_notice = read_ms(FLAGS_evacuate_ms);
-    with.cell.far_factor = absl::GetFlag(FLAGS_far_factor);
-    with.level = absl::GetFlag(FLAGS_log_debug) ? log_level::debug : log_level::info;
-    return with;
+    cell_host_settings settings;
+    settings.node = absl::GetFlag(FLAGS_node);
+    settings.data_centre = absl::GetFlag(FLAGS_data_centre);
+    settings.callers = read_endpoint(FLAGS_callers);
+    settings.ready = read_endpoint(FLAGS_ready);
+    settings.bus = read_endpoint(FLAGS_bus);
+    settings.metrics = read_endpoint(FLAGS_metrics);
+    settings.log = read_endpoint(FLAGS_log);
+    settings.advisor = parse_endpoint(absl::GetFlag(FLAGS_advisor));
+    settings.cpu_share = absl::GetFlag(FLAGS_cpu_share);
+    settings.link_mbps = absl::GetFlag(FLAGS_link_mbps);
+    settings.grace = std::chrono::seconds(absl::GetFlag(FLAGS_grace_s));
+    settings.cell.max_hold = read_ms(FLAGS_max_hold_ms);
+    settings.cell.stop_bound = read_ms(FLAGS_stop_ms);
+    settings.cell.status_kept = std::chrono::seconds(absl::GetFlag(FLAGS_status_s));
+    settings.cell.gang_wait = read_ms(FLAGS_gang_ms);
+    settings.cell.leave_notice = read_ms(FLAGS_leave_ms);
+    settings.cell.evacuation_notice = read_ms(FLAGS_evacuate_ms);
+    settings.cell.far_factor = absl::GetFlag(FLAGS_far_factor);
+    settings.level = absl::GetFlag(FLAGS_log_debug) ? log_level::debug : log_level::info;
+    return settings;
 }
 
 } // namespace figwinch
--- a/src/cell_host/cell_member.cpp
+++ b/src/cell_host/cell_member.cpp
@@ -1,6 +1,6 @@
 #include "cell_host/cell_member.h"
 
-#include "cell_host/follow_paces.h"
+#include "cell_host/stream_polling.h"
 #include "figwinch/cell/record_codec.h"
 #include "figwinch/observe.h"
 
@@ -12,31 +12,31 @@
 
 // Tick period of the coordinator: its decisions wait half of it on average, and each tick costs a
 // wake-up.
-constexpr duration leading_tick = std::chrono::milliseconds(8);
-constexpr duration following_tick = std::chrono::milliseconds(25);
+constexpr duration leader_tick_period = std::chrono::milliseconds(8);
+constexpr duration follower_tick_period = std::chrono::milliseconds(25);
 // A leader whose lease the log renews, but which hasn't been able to send orders for this long,
 // steps down in favour of another host.
-constexpr duration longest_unused = std::chrono::milliseconds(4000);
+constexpr duration max_time_without_orders = std::chrono::milliseconds(4000);
 // Timeout of a read during a snapshot load: its page may queue this long behind the pages of other
 // hosts.
-constexpr duration longest_silence = std::chrono::seconds(2);
-constexpr duration forget_patience = std::chrono::seconds(30);
+constexpr duration max_load_timeout = std::chrono::seconds(2);
+constexpr duration delete_timeout = std::chrono::seconds(30);
 
 /// Delay before the first snapshot load. Hosts with enough CPU to be preferred as coordinator load
 /// at once, so that the others find replicas to query. The others spread by a hash of their ID; the
 /// square root lets only a small part of many hosts begin early, while in a cell of few hosts one
 /// still begins before a vacant leadership can be claimed.
 duration load_delay(double cpu_share, const incarnation_id& self) {
-    constexpr double most_delayed = 3;
+    constexpr double max_delay_s = 3;
     constexpr double range = 18446744073709551616.0;
     if (modesty_of(cpu_share) == duration::zero())
         return duration::zero();
-    const double drawn = static_cast<double>(stable_hash(self.str())) / range;
-    const std::chrono::duration<double> delay(most_delayed * std::sqrt(drawn));
+    const double fraction = static_cast<double>(stable_hash(self.str())) / range;
+    const std::chrono::duration<double> delay(max_delay_s * std::sqrt(fraction));
     return std::chrono::duration_cast<duration>(delay);
 }
 
-reign_times times_of(double cpu_share) {
+reign_times election_times(double cpu_share) {
     reign_times times;
     times.modesty = modesty_of(cpu_share);
     return times;
@@ -45,49 +45,49 @@
 } // namespace
 
 cell_member::cell_member(const clock& time, cell_platform& platform, peer_asker& peers,
-                         const cell_settings& settings, incarnation_id self, member_place place,
+                         const cell_settings& settings, incarnation_id self, member_info info,
                          double cpu_share)
     : time_(time), platform_(platform), peers_(peers), settings_(settings), self_(std::move(self)),
-      place_(std::move(place)), listing_(platform),
-      operators_(time, platform.log(), cell_stream::operators, operators_pace,
-                 [this](const stored_record& record) { take_operators(record); }),
-      workers_(time, platform.log(), cell_stream::workers, workers_pace,
-               [this](const stored_record& record) { listing_.take(record); }),
-      intake_(time, platform.log(), cell_stream::intake, following_intake,
+      info_(std::move(info)), worker_list_(platform),
+      operators_(time, platform.log(), cell_stream::operators, operators_polling,
+                 [this](const stored_record& record) { apply_operator_record(record); }),
+      workers_(time, platform.log(), cell_stream::workers, workers_polling,
+               [this](const stored_record& record) { worker_list_.apply(record); }),
+      intake_(time, platform.log(), cell_stream::intake, follower_intake_polling,
               [this](const stored_record& record) {
                   state_.apply(cell_stream::intake, record);
-                  writer_.note_read(record);
+                  writer_.on_record_read(record);
               }),
       progress_(
-          time, platform.log(), cell_stream::progress, following_progress,
+          time, platform.log(), cell_stream::progress, follower_progress_polling,
           [this](const stored_record& record) { state_.apply(cell_stream::progress, record); }),
       role_(time, self_),
-      own_jobs_(time, state_,
-                [this](const std::function<void(bool)>& done) { intake_.sync(done); }),
-      others_jobs_({time, peers, role_, place_.data_centre}),
-      jobs_(own_jobs_, others_jobs_,
-            [this] { return has_copy() || role_.readers().places().empty(); }),
-      questions_(time, own_jobs_, [this] { return has_copy(); }),
+      local_jobs_(time, state_,
+                  [this](const std::function<void(bool)>& done) { intake_.sync(done); }),
+      peer_jobs_({time, peers, role_, info_.data_centre}),
+      jobs_(local_jobs_, peer_jobs_,
+            [this] { return has_replica() || role_.readers().places().empty(); }),
+      query_server_(time, local_jobs_, [this] { return has_replica(); }),
       writer_({time, platform.log(),
                [this](const stored_record& record) {
-                   if (!keeps_copy())
+                   if (!keeps_replica())
                        return;
                    state_.apply(cell_stream::intake, record);
                    intake_.skip(record);
                },
                [this] { return log_answers(); },
                [this](const std::vector<std::string>& keys, const std::function<void()>& done) {
-                   look_for(keys, done);
+                   look_up(keys, done);
                }}),
-      reign_(time, platform.log(), self_, place_.bus_address, times_of(cpu_share)),
+      reign_(time, platform.log(), self_, info_.bus_address, election_times(cpu_share)),
       link_server_(time, platform.orders()) {
     for (keyed_follower* const follower : {&intake_, &progress_}) {
-        follower->wait_longer(longest_silence);
+        follower->wait_longer(max_load_timeout);
         follower->reset(time.now() + load_delay(cpu_share, self_));
     }
     state_.on_intake([this](const job_entry& job) {
         if (coordinator_)
-            held_back_.push_back(job.id);
+            new_jobs_.push_back(job.id);
     });
 }
 
@@ -96,28 +96,28 @@
     follow_jobs();
     jobs_.tick();
     writer_.tick();
-    reign_.stand(can_coordinate());
+    reign_.stand(is_eligible());
     reign_.tick();
-    if (!reign_.leads() || is_useful())
-        useful_at_ = time_.now();
-    else if (reign_.is_fresh() && time_.now() - useful_at_ > longest_unused)
-        step_aside();
-    if (journal_ && (deposed_ || !reign_.leads() || reign_.epoch() != prepared_))
-        end_reign();
+    if (!reign_.leads() || can_send_orders())
+        could_send_orders_at_ = time_.now();
+    else if (reign_.is_fresh() && time_.now() - could_send_orders_at_ > max_time_without_orders)
+        yield_leadership();
+    if (progress_writer_ && (term_lost_ || !reign_.leads() || reign_.epoch() != term_epoch_))
+        end_term();
     if (reign_.leads())
-        lead();
+        tick_leader();
     else
-        offer_link();
-    return journal_ ? leading_tick : following_tick;
+        offer_relay();
+    return progress_writer_ ? leader_tick_period : follower_tick_period;
 }
 
 void cell_member::resign() {
     reign_.resign();
-    if (journal_)
-        end_reign();
+    if (progress_writer_)
+        end_term();
 }
 
-void cell_member::take_operators(const stored_record& record) {
+void cell_member::apply_operator_record(const stored_record& record) {
     if (const auto data_centre = platform_.evacuated_by(record.key)) {
         if (record.value)
             evacuated_.insert(*data_centre);
@@ -147,21 +147,21 @@
         coordinator_->take_config(*config_);
 }
 
-void cell_member::pass_listing() {
-    if (listing_.take_changed())
-        coordinator_->take_listing(listing_.rows());
+void cell_member::pass_worker_list() {
+    if (worker_list_.poll_changed())
+        coordinator_->take_listing(worker_list_.listings());
 }
 
-void cell_member::forget_job(const job_id& id, const std::function<void()>& done) {
+void cell_member::delete_job_records(const job_id& id, const std::function<void()>& done) {
     std::vector<stored_record> drops;
     drops.push_back({record_key(record_kind::job, id.str()), std::nullopt, 0});
     drops.push_back({record_key(record_kind::cancellation, id.str()), std::nullopt, 0});
-    writer_.write(std::move(drops), time_.now() + forget_patience,
+    writer_.write(std::move(drops), time_.now() + delete_timeout,
                   [this, id, done](intake_outcome outcome, std::uint64_t) {
                       if (outcome == intake_outcome::stored)
                           done();
                       else if (coordinator_)
-                          forget_job(id, done);
+                          delete_job_records(id, done);
                   });
 }
 
--- a/src/cell_host/cell_member_reign.cpp
+++ b/src/cell_host/cell_member_leader.cpp
@@ -1,5 +1,5 @@
 #include "cell_host/cell_member.h"
-#include "cell_host/follow_paces.h"
+#include "cell_host/stream_polling.h"
 #include "figwinch/observe.h"
 
 #include <algorithm>
@@ -10,59 +10,59 @@
 
 // How long a leader that stepped down because it couldn't send orders stays out of elections. Kept
 // short, as is the time before it steps down, because workers' leases run meanwhile.
-constexpr duration time_aside = std::chrono::milliseconds(3000);
+constexpr duration ineligible_period = std::chrono::milliseconds(3000);
 
 } // namespace
 
 /// Only hosts with loaded state stand for election. Lease renewals are small and succeed on links
 /// where snapshot loads don't, so a host elected before its load could stay leader without ever
 /// being able to coordinate, and block the hosts that are.
-bool cell_member::can_coordinate() const {
-    return intake_.is_loaded() && progress_.is_loaded() && time_.now() >= aside_until_;
+bool cell_member::is_eligible() const {
+    return intake_.is_loaded() && progress_.is_loaded() && time_.now() >= ineligible_until_;
 }
 
-bool cell_member::is_useful() const {
-    return coordinator_ && sees_notices();
+bool cell_member::can_send_orders() const {
+    return coordinator_ && is_view_fresh();
 }
 
-void cell_member::step_aside() {
+void cell_member::yield_leadership() {
     log_event(log_level::warn, "reign_unused",
               {{"epoch", static_cast<std::int64_t>(reign_.epoch().value())},
                {"begun", coordinator_ != nullptr},
                {"workers_age_ms", workers_age() / std::chrono::milliseconds(1)},
                {"operators_age_ms", operators_age() / std::chrono::milliseconds(1)}});
-    aside_until_ = time_.now() + time_aside;
+    ineligible_until_ = time_.now() + ineligible_period;
     reign_.yield();
 }
 
-void cell_member::lead() {
+void cell_member::tick_leader() {
     workers_.tick();
-    if (!journal_ && intake_.is_loaded() && progress_.is_loaded())
-        begin_reign();
-    if (!journal_)
+    if (!progress_writer_ && intake_.is_loaded() && progress_.is_loaded())
+        begin_term();
+    if (!progress_writer_)
         return;
-    journal_->tick();
+    progress_writer_->tick();
     if (!coordinator_)
         return;
-    if (predecessor_)
-        predecessor_->tick();
-    pass_listing();
+    if (predecessor_asker_)
+        predecessor_asker_->tick();
+    pass_worker_list();
     // New jobs wait while the log doesn't confirm the leadership lease (see `fresh_reign`).
-    intake_.set_pace(reign_.is_fresh() ? leading_intake : following_intake);
-    pass_intake();
-    note_view();
+    intake_.set_pace(reign_.is_fresh() ? leader_intake_polling : follower_intake_polling);
+    pass_new_jobs();
+    log_view_change();
     coordinator_->tick();
-    journal_->tick();
+    progress_writer_->tick();
     orders_->tick();
 }
 
-bool cell_member::sees_notices() const {
+bool cell_member::is_view_fresh() const {
     return workers_age() < settings_.leave_notice - order_way &&
            operators_age() < settings_.evacuation_notice - order_way;
 }
 
-void cell_member::note_view() {
-    const bool old = !sees_notices();
+void cell_member::log_view_change() {
+    const bool old = !is_view_fresh();
     if (old == std::exchange(view_is_old_, old))
         return;
     const std::int64_t workers_ms = workers_age() / std::chrono::milliseconds(1);
@@ -79,30 +79,30 @@
 /// coordinator cut off from the log for a time may read the jobs accepted meanwhile before it
 /// learns that it has a successor, and the successor starts those jobs without checking workers
 /// that it can't reach.
-void cell_member::pass_intake() {
+void cell_member::pass_new_jobs() {
     if (!reign_.is_fresh())
         return;
-    for (const job_id& id : std::exchange(held_back_, {}))
+    for (const job_id& id : std::exchange(new_jobs_, {}))
         if (const job_entry* const job = state_.find(id))
             coordinator_->take_intake(*job);
 }
 
 /// Sets up a leadership term. Fences the predecessor's epoch first, so that the reads that follow
 /// see everything the predecessor ever wrote.
-void cell_member::begin_reign() {
-    prepared_ = reign_.epoch();
-    deposed_ = false;
-    journal_ = std::make_unique<progress_writer>(
-        time_, platform_.log(), prepared_,
+void cell_member::begin_term() {
+    term_epoch_ = reign_.epoch();
+    term_lost_ = false;
+    progress_writer_ = std::make_unique<progress_writer>(
+        time_, platform_.log(), term_epoch_,
         [this](const stored_record& record) {
             state_.apply(cell_stream::progress, record);
             progress_.skip(record);
         },
-        [this] { deposed_ = true; });
-    journal_->fence([this, epoch = prepared_](std::uint64_t) {
+        [this] { term_lost_ = true; });
+    progress_writer_->fence([this, epoch = term_epoch_](std::uint64_t) {
         progress_.sync([this, epoch](bool progress_read) {
             intake_.sync([this, epoch, progress_read](bool intake_read) {
-                if (epoch == prepared_ && journal_)
+                if (epoch == term_epoch_ && progress_writer_)
                     start_coordinator(progress_read && intake_read);
             });
         });
@@ -111,26 +111,29 @@
 
 void cell_member::start_coordinator(bool state_read) {
     if (!state_read) {
-        deposed_ = true;
+        term_lost_ = true;
         return;
     }
     orders_ = std::make_unique<linked_orders>(
         linked_orders::parts{time_, platform_.orders(), peers_},
-        self_.str() + "/" + std::to_string(prepared_.value()), prepared_, place_.carries);
-    roster_ = std::make_unique<reader_roster>(time_, place_.data_centre);
-    coordinator_ = coordinator::create(
-        {time_, *orders_, platform_.advisor(), *journal_, [this] { return reign_.confirmed_at(); },
-         [this] { return sees_notices(); }, [this] { deposed_ = true; },
-         [this](const job_id& id, const std::function<void()>& done) { forget_job(id, done); }},
-        settings_, prepared_,
-        {reign_.follows_resignation(), reign_.predecessors_acted_until(),
-         reign_.predecessors_prolonged_until()},
-        state_);
+        self_.str() + "/" + std::to_string(term_epoch_.value()), term_epoch_, info_.relay_capacity);
+    roster_ = std::make_unique<reader_roster>(time_, info_.data_centre);
+    coordinator_ =
+        coordinator::create({time_, *orders_, platform_.advisor(), *progress_writer_,
+                             [this] { return reign_.confirmed_at(); },
+                             [this] { return is_view_fresh(); }, [this] { term_lost_ = true; },
+                             [this](const job_id& id, const std::function<void()>& done) {
+                                 delete_job_records(id, done);
+                             }},
+                            settings_, term_epoch_,
+                            {reign_.follows_resignation(), reign_.predecessors_acted_until(),
+                             reign_.predecessors_prolonged_until()},
+                            state_);
     if (config_)
         coordinator_->take_config(*config_);
     coordinator_->take_evacuated(evacuated_);
-    listing_.take_changed();
-    coordinator_->take_listing(listing_.rows());
+    worker_list_.poll_changed();
+    coordinator_->take_listing(worker_list_.listings());
     ask_predecessor();
 }
 
@@ -140,40 +143,41 @@
     const std::optional<reign_view>& before = reign_.predecessor();
     if (!before || before->holder == self_ || coordinator_->counts().workers_unresolved == 0)
         return;
-    predecessor_ = std::make_unique<predecessor_asker>(
-        time_, peers_, *before, prepared_, reign_.predecessors_acted_until(),
+    predecessor_asker_ = std::make_unique<predecessor_asker>(
+        time_, peers_, *before, term_epoch_, reign_.predecessors_acted_until(),
         [this](const outstanding_orders& orders) { coordinator_->take_outstanding(orders); });
 }
 
-std::string cell_member::take_step_down(std::string_view bytes) {
+std::string cell_member::handle_step_down(std::string_view bytes) {
     const auto request = decode_step_down_request(bytes);
     if (!request || request->holder != self_ || request->successor <= request->epoch)
         return encode_outstanding(std::nullopt);
-    if (coordinator_ && request->epoch == prepared_)
-        end_reign();
-    if (!ended_ || ended_->epoch != request->epoch)
+    if (coordinator_ && request->epoch == term_epoch_)
+        end_term();
+    if (!ended_term_ || ended_term_->epoch != request->epoch)
         return encode_outstanding(std::nullopt);
-    outstanding_orders orders = ended_->orders;
+    outstanding_orders orders = ended_term_->orders;
     for (held_worker& worker : orders.held)
         if (worker.left)
-            *worker.left = std::max(duration::zero(), *worker.left - (time_.now() - ended_->at));
+            *worker.left =
+                std::max(duration::zero(), *worker.left - (time_.now() - ended_term_->at));
     return encode_outstanding(orders);
 }
 
-void cell_member::end_reign() {
+void cell_member::end_term() {
     log_event(log_level::warn, "reign_ended",
-              {{"epoch", static_cast<std::int64_t>(prepared_.value())}});
-    if (reign_.epoch() == prepared_)
+              {{"epoch", static_cast<std::int64_t>(term_epoch_.value())}});
+    if (reign_.epoch() == term_epoch_)
         reign_.yield();
     if (coordinator_)
-        ended_ = ended_reign{prepared_, coordinator_->outstanding(), time_.now()};
-    predecessor_.reset();
+        ended_term_ = ended_term{term_epoch_, coordinator_->outstanding(), time_.now()};
+    predecessor_asker_.reset();
     coordinator_.reset();
     orders_.reset();
     roster_.reset();
-    held_back_.clear();
-    journal_.reset();
-    intake_.set_pace(following_intake);
+    new_jobs_.clear();
+    progress_writer_.reset();
+    intake_.set_pace(follower_intake_polling);
 }
 
 } // namespace figwinch
--- a/src/cell_host/cell_metrics.cpp
+++ b/src/cell_host/cell_metrics.cpp
@@ -30,7 +30,7 @@
     set(name, static_cast<std::uint64_t>(std::max(span, duration::zero()).count() / 1000), help);
 }
 
-std::string cell_metrics::expose(const cell_member& member, const job_front_counts& front,
+std::string cell_metrics::expose(const cell_member& member, const job_api_counts& front,
                                  const cell_platform& platform) {
     set("figwinch_cell_jobs_accepted", front.accepted, "jobs accepted here since the start");
     set("figwinch_cell_jobs_refused", front.refused, "requests refused here since the start");
@@ -40,16 +40,17 @@
     set("figwinch_cell_order_calls", platform.order_calls(), "calls to workers since the start");
     for (const cell_stream stream : all_streams)
         set_reads(stream, platform.log_reads(stream));
-    set("figwinch_cell_links", member.links(), "hosts that pass this coordinator's orders on");
-    set("figwinch_cell_passed_on", member.passed_on(), "orders passed on for coordinators");
+    set("figwinch_cell_links", member.relay_count(),
+        "hosts that pass this coordinator's orders on");
+    set("figwinch_cell_passed_on", member.relayed_orders(), "orders passed on for coordinators");
     set("figwinch_cell_leads", member.election().leads() ? 1 : 0, "1 on the coordinator");
     set("figwinch_cell_epoch", member.election().epoch().value(), "this host's last epoch");
     set("figwinch_cell_log_answers", member.log_answers() ? 1 : 0, "0 while the log is silent");
     set("figwinch_cell_records_unreadable", member.state().unreadable(),
         "records of the log that were passed over");
-    set("figwinch_cell_has_copy", member.has_copy() ? 1 : 0,
+    set("figwinch_cell_has_copy", member.has_replica() ? 1 : 0,
         "1 where this host has a copy of the cell's jobs");
-    set("figwinch_cell_questions_answered", member.questions_answered(),
+    set("figwinch_cell_questions_answered", member.queries_answered(),
         "questions of hosts without a copy that this one took");
     set("figwinch_cell_jobs_known", member.state().jobs().size(), "jobs that the log keeps");
     set("figwinch_cell_log_lines_lost", log_lines_lost(), "log lines that no reader took in time");
@@ -78,10 +79,11 @@
 }
 
 void cell_metrics::set_intake(const intake_writer& writer) {
-    set_ms("figwinch_cell_append_ms", writer.pace().latest(),
+    set_ms("figwinch_cell_append_ms", writer.append_latency().latest(),
            "newest append of callers' jobs: its wait in the log and its service");
-    set_ms("figwinch_cell_append_usual_ms", writer.pace().usual(), "what that takes as a rule");
-    set("figwinch_cell_log_slow", writer.pace().is_slow() ? 1 : 0,
+    set_ms("figwinch_cell_append_usual_ms", writer.append_latency().baseline(),
+           "what that takes as a rule");
+    set("figwinch_cell_log_slow", writer.append_latency().is_slow() ? 1 : 0,
         "1 while appends take many times what is usual");
     set("figwinch_cell_intake_waiting", writer.waiting(), "callers whose records wait here");
     const intake_counts& counts = writer.counts();
@@ -89,11 +91,11 @@
     set("figwinch_cell_intake_records", counts.records, "callers whose records these held");
     set("figwinch_cell_doubts_read", counts.settled_by_read,
         "late appends that were found in the stream");
-    set("figwinch_cell_doubts_repeated", counts.settled_by_repeat,
+    set("figwinch_cell_doubts_repeated", counts.settled_by_retry,
         "late appends that were answered when sent again");
     set("figwinch_cell_doubts_handed", counts.settled_by_writer,
         "late appends that the cell's writer settled");
-    set("figwinch_cell_intake_handed", counts.handed, "callers handed to the cell's writer");
+    set("figwinch_cell_intake_handed", counts.handed_over, "callers handed to the cell's writer");
     set("figwinch_cell_doubts_left", counts.left_in_doubt, "callers told that nobody knows");
 }
 
--- a/src/cell_host/cell_metrics.h
+++ b/src/cell_host/cell_metrics.h
@@ -2,7 +2,7 @@
 
 #include "cell_host/cell_member.h"
 #include "cell_host/cell_platform.h"
-#include "cell_host/job_front.h"
+#include "cell_host/job_api.h"
 #include "figwinch/observe.h"
 
 #include <string>
@@ -23,7 +23,7 @@
     /// Records the time from a submission's arrival to its acceptance.
     void observe_acceptance(duration waited);
     /// Returns the body of GET /metrics.
-    std::string expose(const cell_member& member, const job_front_counts& front,
+    std::string expose(const cell_member& member, const job_api_counts& front,
                        const cell_platform& platform);
 
 private:
--- a/src/cell_host/cell_platform.h
+++ b/src/cell_host/cell_platform.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "cell_host/job_front.h"
+#include "cell_host/job_api.h"
 #include "figwinch/cell.h"
 
 #include <memory>
@@ -18,7 +18,7 @@
     virtual durable_log& log() = 0;
     virtual worker_orders& orders() = 0;
     virtual worker_advisor& advisor() = 0;
-    virtual const job_dialect& dialect() const = 0;
+    virtual const job_api_codec& job_codec() const = 0;
 
     /// Decode keys and records of the `operators` and `workers` streams; nullopt if malformed.
     virtual bool is_config_key(std::string_view key) const = 0;
--- a/src/cell_host/handover_codec.cpp
+++ b/src/cell_host/handover_codec.cpp
@@ -25,7 +25,7 @@
 
 std::string encode_handover(const handover& handed) {
     pb::HandoverRequest request;
-    request.set_patience_ms(handed.patience / std::chrono::milliseconds(1));
+    request.set_patience_ms(handed.timeout / std::chrono::milliseconds(1));
     for (const stored_record& record : handed.records) {
         pb::HandoverRecord& row = *request.add_records();
         row.set_key(record.key);
@@ -40,7 +40,7 @@
     if (!parse(request, bytes))
         return std::nullopt;
     handover handed;
-    handed.patience = std::chrono::milliseconds(request.patience_ms());
+    handed.timeout = std::chrono::milliseconds(request.patience_ms());
     for (const pb::HandoverRecord& row : request.records()) {
         stored_record record{row.key(), std::nullopt, 0};
         if (row.has_value())
@@ -56,7 +56,7 @@
         if (ours == result.outcome)
             reply.set_outcome(theirs);
     reply.set_offset(result.offset);
-    reply.set_append_us(result.append / std::chrono::microseconds(1));
+    reply.set_append_us(result.writer_latency / std::chrono::microseconds(1));
     return reply.SerializeAsString();
 }
 
@@ -69,11 +69,11 @@
         if (theirs == reply.outcome())
             result.outcome = ours;
     result.offset = reply.offset();
-    result.append = std::chrono::microseconds(reply.append_us());
+    result.writer_latency = std::chrono::microseconds(reply.append_us());
     return result;
 }
 
-std::string encode_presence() {
+std::string encode_probe_reply() {
     pb::HandoverReply reply;
     reply.set_outcome(pb::HANDOVER_PRESENT);
     return reply.SerializeAsString();
--- a/src/cell_host/handover_codec.h
+++ b/src/cell_host/handover_codec.h
@@ -13,7 +13,7 @@
 /// a probe, which only checks whether the writer responds.
 struct handover {
     /// Time left until the latest deadline of the records' callers.
-    duration patience{};
+    duration timeout{};
     std::vector<stored_record> records;
 };
 
@@ -25,6 +25,6 @@
 /// The outcome is `unknown` if the bytes are malformed.
 handover_result decode_handover_result(std::string_view bytes);
 /// Encodes the reply to a probe.
-std::string encode_presence();
+std::string encode_probe_reply();
 
 } // namespace figwinch
--- a/src/cell_host/handover_lane.h
+++ b/src/cell_host/handover_sender.h
@@ -10,31 +10,31 @@
 
 /// Hands entries of this host over to the cell's shared writer, one batch at a time. Owned by
 /// `intake_writer`.
-class handover_lane {
+class handover_sender {
 public:
     /// Called with a batch and its outcome.
     using handler = std::function<void(intake_entries, const handover_result&)>;
 
-    handover_lane(const clock& time, handler back) : time_(time), back_(std::move(back)) {}
+    handover_sender(const clock& time, handler back) : time_(time), on_result_(std::move(back)) {}
 
     /// Sets the shared writer, which must outlive this object; null if there is none.
-    void use(shared_writer* writer) { writer_ = writer; }
-    bool is_open() const { return writer_ != nullptr && writer_->is_open(); }
+    void set_writer(shared_writer* writer) { writer_ = writer; }
+    bool is_available() const { return writer_ != nullptr && writer_->is_available(); }
     bool is_busy() const { return busy_; }
-    void hand(intake_entries entries);
+    void hand_over(intake_entries entries);
     intake_entries& entries() { return entries_; }
     std::size_t size() const { return entries_.size(); }
 
     /// Estimated time until the batch in flight is answered, if it takes as long as the one before;
     /// zero if there is none. Later batches aren't estimated, because only the writer can observe
     /// the log's queue.
-    duration left() const;
+    duration time_left() const;
 
 private:
-    void take(const handover_result& result);
+    void handle_result(const handover_result& result);
 
     const clock& time_;
-    handler back_;
+    handler on_result_;
     shared_writer* writer_ = nullptr;
     intake_entries entries_;
     bool busy_ = false;
--- a/src/cell_host/handover_server.cpp
+++ b/src/cell_host/handover_server.cpp
@@ -24,15 +24,15 @@
 
 void handover_server::handle(std::string_view body, const std::function<void(std::string)>& reply) {
     std::optional<handover> handed = decode_handover(body);
-    if (!handed || !writes_())
+    if (!handed || !is_shared_writer_())
         return reply(encode_handover_result({handover_result::kind::not_taken, 0, {}}));
     if (handed->records.empty())
-        return reply(encode_presence());
-    writer_.write_for_other(
-        std::move(handed->records), time_.now() + handed->patience,
-        [this, reply](intake_outcome outcome, std::uint64_t offset) {
-            reply(encode_handover_result({kind_of(outcome), offset, writer_.pace().latest()}));
-        });
+        return reply(encode_probe_reply());
+    writer_.write_for_other(std::move(handed->records), time_.now() + handed->timeout,
+                            [this, reply](intake_outcome outcome, std::uint64_t offset) {
+                                reply(encode_handover_result(
+                                    {kind_of(outcome), offset, writer_.append_latency().latest()}));
+                            });
 }
 
 } // namespace figwinch
--- a/src/cell_host/handover_server.h
+++ b/src/cell_host/handover_server.h
@@ -14,16 +14,18 @@
 /// meanwhile into the next. Owned by `cell_host`.
 class handover_server {
 public:
-    /// `writes`: whether this host is the shared writer: it coordinates and the log answers it.
-    handover_server(const clock& time, intake_writer& writer, std::function<bool()> writes)
-        : time_(time), writer_(writer), writes_(std::move(writes)) {}
+    /// `is_shared_writer`: whether this host is the shared writer: it coordinates and the log
+    /// answers it.
+    handover_server(const clock& time, intake_writer& writer,
+                    std::function<bool()> is_shared_writer)
+        : time_(time), writer_(writer), is_shared_writer_(std::move(is_shared_writer)) {}
 
     void handle(std::string_view body, const std::function<void(std::string)>& reply);
 
 private:
     const clock& time_;
     intake_writer& writer_;
-    std::function<bool()> writes_;
+    std::function<bool()> is_shared_writer_;
 };
 
 } // namespace figwinch
--- a/src/cell_host/intake_entry.cpp
+++ b/src/cell_host/intake_entry.cpp
@@ -4,7 +4,7 @@
 
 namespace figwinch {
 
-void intake_entry::end(intake_outcome outcome, std::uint64_t offset) {
+void intake_entry::complete(intake_outcome outcome, std::uint64_t offset) {
     if (const auto call = std::exchange(done, nullptr))
         call(outcome, offset);
 }
@@ -17,7 +17,7 @@
 }
 
 /// Records with the same key are of the same job, whichever host appended them.
-bool intake_entry::is_in(const stored_record& record) const {
+bool intake_entry::matches(const stored_record& record) const {
     return records.size() == 1 && records.front().value && record.value &&
            records.front().key == record.key;
 }
--- a/src/cell_host/intake_entry.h
+++ b/src/cell_host/intake_entry.h
@@ -25,21 +25,21 @@
     /// Called with the outcome and, if the records are stored, the offset of the first one.
     std::function<void(intake_outcome, std::uint64_t offset)> done;
     /// An append with these records timed out, so they may be in the log.
-    bool doubtful = false;
+    bool may_be_stored = false;
     /// The records were found in a read of the stream.
-    bool seen = false;
+    bool found_in_stream = false;
     /// This host doesn't append the records before this time: an earlier append of them may still
     /// wait in the log's queue.
-    instant append_from{};
+    instant append_not_before{};
     /// The records are appended by this host and not handed over to the cell's shared writer.
-    bool own = false;
+    bool append_locally = false;
 
     /// Reports the outcome to the caller. Only the first call has an effect.
-    void end(intake_outcome outcome, std::uint64_t offset = 0);
-    bool has_ended() const { return !done; }
+    void complete(intake_outcome outcome, std::uint64_t offset = 0);
+    bool is_complete() const { return !done; }
     std::size_t bytes() const;
     /// Whether `record`, read from the log, shows that this entry is stored.
-    bool is_in(const stored_record& record) const;
+    bool matches(const stored_record& record) const;
 };
 
 using intake_entries = std::deque<intake_entry>;
--- a/src/cell_host/intake_queue.cpp
+++ b/src/cell_host/intake_queue.cpp
@@ -6,7 +6,7 @@
 namespace figwinch {
 namespace {
 
-constexpr std::size_t most_bytes = std::size_t{64} * 1024;
+constexpr std::size_t max_bytes = std::size_t{64} * 1024;
 
 } // namespace
 
@@ -15,16 +15,16 @@
                     std::make_move_iterator(entries.end()));
 }
 
-intake_entries intake_queue::take(const std::function<bool(const intake_entry&)>& may) {
+intake_entries intake_queue::take(const std::function<bool(const intake_entry&)>& accept) {
     intake_entries taken;
     std::size_t bytes = 0;
     bool full = false;
     for (intake_entry& entry : std::exchange(entries_, {})) {
-        if (entry.has_ended())
+        if (entry.is_complete())
             continue;
-        full = full || taken.size() == most_entries ||
-               (!taken.empty() && bytes + entry.bytes() > most_bytes);
-        if (full || !may(entry)) {
+        full = full || taken.size() == max_entries ||
+               (!taken.empty() && bytes + entry.bytes() > max_bytes);
+        if (full || !accept(entry)) {
             entries_.push_back(std::move(entry));
             continue;
         }
--- a/src/cell_host/intake_queue.h
+++ b/src/cell_host/intake_queue.h
@@ -10,14 +10,14 @@
 class intake_queue {
 public:
     /// Maximum number of entries in one append.
-    static constexpr std::size_t most_entries = 200;
+    static constexpr std::size_t max_entries = 200;
 
     void push(intake_entry entry) { entries_.push_back(std::move(entry)); }
     /// Puts entries at the front of the queue.
     void put_back(intake_entries entries);
-    /// Removes and returns the entries for one append: in order, those for which `may` returns
+    /// Removes and returns the entries for one append: in order, those for which `accept` returns
     /// true, up to the limits of count and bytes.
-    intake_entries take(const std::function<bool(const intake_entry&)>& may);
+    intake_entries take(const std::function<bool(const intake_entry&)>& accept);
     intake_entries take_all();
     intake_entries& entries() { return entries_; }
     std::size_t size() const { return entries_.size(); }
--- a/src/cell_host/intake_writer.cpp
+++ b/src/cell_host/intake_writer.cpp
@@ -9,120 +9,123 @@
 constexpr duration retry_period = std::chrono::milliseconds(100);
 // An append that is unanswered for this long is looked up in the stream. After twice this time its
 // callers are told that the outcome is unknown, if the log answers no other call either.
-constexpr duration late_after = std::chrono::milliseconds(500);
+constexpr duration late_append_threshold = std::chrono::milliseconds(500);
 
 /// Counts the entries whose callers still wait and whose records may be stored already.
-std::uint64_t count_doubtful(const intake_entries& entries) {
+std::uint64_t count_maybe_stored(const intake_entries& entries) {
     return static_cast<std::uint64_t>(std::ranges::count_if(
-        entries, [](const auto& entry) { return entry.doubtful && !entry.has_ended(); }));
+        entries, [](const auto& entry) { return entry.may_be_stored && !entry.is_complete(); }));
 }
 
 } // namespace
 
-intake_writer::intake_writer(parts with)
-    : with_(std::move(with)), pace_(with_.time),
-      lane_(with_.time, [this](intake_entries entries, const handover_result& result) {
-          take_handed(std::move(entries), result);
+intake_writer::intake_writer(dependencies deps)
+    : deps_(std::move(deps)), append_latency_(deps_.time),
+      handover_sender_(deps_.time, [this](intake_entries entries, const handover_result& result) {
+          handle_handover_result(std::move(entries), result);
       }) {}
 
 void intake_writer::write(std::vector<stored_record> records, instant deadline, handler done) {
     waiting_.push({std::move(records), deadline, std::move(done)});
-    send_what_waits();
+    send_waiting();
 }
 
 void intake_writer::write_for_other(std::vector<stored_record> records, instant deadline,
                                     handler done) {
     intake_entry entry{std::move(records), deadline, std::move(done)};
-    entry.own = true;
-    handed_here_ = with_.time.now();
+    entry.append_locally = true;
+    last_handover_at_ = deps_.time.now();
     waiting_.push(std::move(entry));
-    send_what_waits();
+    send_waiting();
 }
 
 void intake_writer::tick() {
-    end_overdue();
-    end_overdue_on_way(lane_.entries());
+    expire_waiting();
+    expire_sent(handover_sender_.entries());
     if (in_flight_)
-        watch_append();
-    else if (!waiting_.empty() && (is_silent() || (full_ && !with_.log_answers())))
-        give_up_append();
-    if (pace_.is_slow())
-        refuse_hopeless();
-    send_what_waits();
+        check_append();
+    else if (!waiting_.empty() &&
+             (is_log_unresponsive() || (log_queue_full_ && !deps_.log_answers())))
+        fail_all();
+    if (append_latency_.is_slow())
+        reject_unmeetable();
+    send_waiting();
 }
 
-void intake_writer::end_by(instant latest) {
-    for (intake_entries* const entries : {&waiting_.entries(), &batch_, &lane_.entries()})
+void intake_writer::cap_deadlines(instant latest) {
+    for (intake_entries* const entries :
+         {&waiting_.entries(), &batch_, &handover_sender_.entries()})
         for (intake_entry& held : *entries)
             held.deadline = std::min(held.deadline, latest);
 }
 
-bool intake_writer::is_silent() const {
-    return unanswered_since_ && with_.time.now() - *unanswered_since_ >= 2 * late_after &&
-           !with_.log_answers();
+bool intake_writer::is_log_unresponsive() const {
+    return unanswered_since_ &&
+           deps_.time.now() - *unanswered_since_ >= 2 * late_append_threshold &&
+           !deps_.log_answers();
 }
 
-void intake_writer::end_overdue() {
+void intake_writer::expire_waiting() {
     intake_entries keep;
     for (intake_entry& waiting : waiting_.take_all()) {
-        if (waiting.has_ended())
+        if (waiting.is_complete())
             continue;
-        if (with_.time.now() < waiting.deadline)
+        if (deps_.time.now() < waiting.deadline)
             keep.push_back(std::move(waiting));
         else
-            refuse(waiting);
+            reject(waiting);
     }
     waiting_.put_back(std::move(keep));
 }
 
-void intake_writer::end_overdue_on_way(intake_entries& entries) {
+void intake_writer::expire_sent(intake_entries& entries) {
     for (intake_entry& sent : entries)
-        if (with_.time.now() >= sent.deadline)
-            end_in_doubt(sent);
+        if (deps_.time.now() >= sent.deadline)
+            complete_as_unknown(sent);
 }
 
-void intake_writer::end_in_doubt(intake_entry& entry) {
-    if (entry.has_ended())
+void intake_writer::complete_as_unknown(intake_entry& entry) {
+    if (entry.is_complete())
         return;
     ++counts_.left_in_doubt;
-    entry.end(intake_outcome::unknown);
+    entry.complete(intake_outcome::unknown);
 }
 
-void intake_writer::settle_by(intake_entries& entries, const stored_record& record) {
+void intake_writer::complete_stored(intake_entries& entries, const stored_record& record) {
     for (intake_entry& entry : entries) {
-        if (!entry.is_in(record))
+        if (!entry.matches(record))
             continue;
-        entry.seen = true;
-        if (entry.has_ended())
+        entry.found_in_stream = true;
+        if (entry.is_complete())
             continue;
-        if (entry.doubtful || with_.time.now() - sent_at_ >= late_after)
+        if (entry.may_be_stored || deps_.time.now() - sent_at_ >= late_append_threshold)
             ++counts_.settled_by_read;
-        entry.end(intake_outcome::stored, record.offset);
+        entry.complete(intake_outcome::stored, record.offset);
     }
 }
 
-void intake_writer::note_read(const stored_record& record) {
-    settle_by(batch_, record);
-    settle_by(waiting_.entries(), record);
-    settle_by(lane_.entries(), record);
+void intake_writer::on_record_read(const stored_record& record) {
+    complete_stored(batch_, record);
+    complete_stored(waiting_.entries(), record);
+    complete_stored(handover_sender_.entries(), record);
 }
 
 /// The reply to a read carries more data than the reply to an append, so only half of the time
 /// counts as the latency of an append.
-void intake_writer::note_late_read(duration waited) {
-    pace_.note_waiting(waited / 2);
+void intake_writer::report_late_read(duration waited) {
+    append_latency_.on_pending(waited / 2);
 }
 
-void intake_writer::send_what_waits() {
-    if (hands_over() && !lane_.is_busy()) {
-        intake_entries handed = waiting_.take([now = with_.time.now()](const intake_entry& entry) {
-            return !entry.own && now < entry.deadline;
+void intake_writer::send_waiting() {
+    if (uses_shared_writer() && !handover_sender_.is_busy()) {
+        intake_entries handed = waiting_.take([now = deps_.time.now()](const intake_entry& entry) {
+            return !entry.append_locally && now < entry.deadline;
         });
-        counts_.handed += handed.size();
+        counts_.handed_over += handed.size();
         if (!handed.empty())
-            lane_.hand(std::move(handed));
+            handover_sender_.hand_over(std::move(handed));
     }
-    if (in_flight_ || with_.time.now() < next_send_)
+    if (in_flight_ || deps_.time.now() < next_send_)
         return;
     batch_ = waiting_.take([this](const intake_entry& entry) { return may_append(entry); });
     if (!batch_.empty())
@@ -130,62 +133,63 @@
 }
 
 bool intake_writer::may_append(const intake_entry& entry) const {
-    return with_.time.now() >= entry.append_from && (entry.own || !hands_over());
+    return deps_.time.now() >= entry.append_not_before &&
+           (entry.append_locally || !uses_shared_writer());
 }
 
 void intake_writer::send() {
     in_flight_ = true;
     ++counts_.appends;
     counts_.records += batch_.size();
-    sent_at_ = with_.time.now();
+    sent_at_ = deps_.time.now();
     if (!unanswered_since_)
         unanswered_since_ = sent_at_;
-    next_look_ = sent_at_ + late_after;
-    with_.log.append(
-        cell_stream::intake, records_of(batch_), {},
-        [this, round = ++round_, weak = std::weak_ptr(alive_)](const append_result& result) {
-            if (!weak.expired() && round == round_ && in_flight_)
-                take(result);
-        });
+    next_lookup_ = sent_at_ + late_append_threshold;
+    deps_.log.append(cell_stream::intake, records_of(batch_), {},
+                     [this, round = ++append_number_,
+                      weak = std::weak_ptr(alive_)](const append_result& result) {
+                         if (!weak.expired() && round == append_number_ && in_flight_)
+                             handle_append_result(result);
+                     });
 }
 
 /// Checks on the append in flight. It stays in flight after its callers' deadlines, so that its
 /// records are applied if the log stores them later.
-void intake_writer::watch_append() {
-    const instant now = with_.time.now();
-    pace_.note_waiting(now - sent_at_);
-    end_overdue_on_way(batch_);
-    if (is_silent())
-        return give_up_append();
-    if (now >= next_look_)
-        look_for_append();
+void intake_writer::check_append() {
+    const instant now = deps_.time.now();
+    append_latency_.on_pending(now - sent_at_);
+    expire_sent(batch_);
+    if (is_log_unresponsive())
+        return fail_all();
+    if (now >= next_lookup_)
+        look_up_append();
 }
 
 /// Looks for the records of a late append in the stream: if only the log's answer was lost, nothing
 /// has to be appended twice.
-void intake_writer::look_for_append() {
-    next_look_ = with_.time.now() + late_after;
+void intake_writer::look_up_append() {
+    next_lookup_ = deps_.time.now() + late_append_threshold;
     std::vector<std::string> keys;
     for (const intake_entry& entry : batch_)
         for (const stored_record& record : entry.records)
             keys.push_back(record.key);
-    with_.look_for(keys, [this, round = round_, weak = std::weak_ptr(alive_)] {
-        if (weak.expired() || round != round_ || !in_flight_)
+    deps_.look_up(keys, [this, round = append_number_, weak = std::weak_ptr(alive_)] {
+        if (weak.expired() || round != append_number_ || !in_flight_)
             return;
-        if (std::ranges::all_of(batch_, &intake_entry::seen))
+        if (std::ranges::all_of(batch_, &intake_entry::found_in_stream))
             return abandon_append();
-        if (hands_over() && std::ranges::none_of(batch_, &intake_entry::own))
-            hand_late_over();
+        if (uses_shared_writer() && std::ranges::none_of(batch_, &intake_entry::append_locally))
+            hand_over_late_append();
     });
 }
 
 /// Hands a late append over to the shared writer, in case the original request never reached the
 /// log. The writer's single append for many hosts hardly lengthens the log's queue.
-void intake_writer::hand_late_over() {
+void intake_writer::hand_over_late_append() {
     intake_entries late = std::exchange(batch_, {});
     for (intake_entry& entry : late) {
-        entry.doubtful = true;
-        entry.append_from = sent_at_ + with_.log.longest_queue();
+        entry.may_be_stored = true;
+        entry.append_not_before = sent_at_ + deps_.log.longest_queue();
     }
     abandon_append();
     waiting_.put_back(std::move(late));
@@ -193,10 +197,10 @@
 
 /// Fails the append in flight and all waiting entries, because the log answers no call. Their
 /// callers can retry at another host.
-void intake_writer::give_up_append() {
+void intake_writer::fail_all() {
     for (intake_entry& sent : std::exchange(batch_, {}))
-        end_in_doubt(sent);
-    refuse_all(waiting_.take_all());
+        complete_as_unknown(sent);
+    reject_all(waiting_.take_all());
     abandon_append();
 }
 
@@ -204,20 +208,20 @@
     in_flight_ = false;
     batch_.clear();
     unanswered_since_.reset();
-    next_send_ = with_.time.now() + retry_period;
+    next_send_ = deps_.time.now() + retry_period;
 }
 
-void intake_writer::take(const append_result& result) {
+void intake_writer::handle_append_result(const append_result& result) {
     in_flight_ = false;
     if (result.fault != log_fault::silent)
         unanswered_since_.reset();
     if (result.fault == log_fault::unavailable)
-        return take_refusal();
+        return handle_append_rejection();
     if (result.fault != log_fault::none)
-        return take_silence();
-    full_ = false;
-    pace_.note(with_.time.now() - sent_at_);
-    counts_.settled_by_repeat += count_doubtful(batch_);
+        return handle_append_timeout();
+    log_queue_full_ = false;
+    append_latency_.on_answered(deps_.time.now() - sent_at_);
+    counts_.settled_by_retry += count_maybe_stored(batch_);
     commit(std::exchange(batch_, {}), result.offset);
 }
 
@@ -225,18 +229,18 @@
 /// to recover a lost answer. If the log is slow, the retry waits until the first append can't be in
 /// the log's queue any more, since a second one would only lengthen it. If the retry times out too,
 /// callers are told that the outcome is unknown.
-void intake_writer::take_silence() {
-    const duration queue = pace_.is_slow() ? with_.log.longest_queue() : duration::zero();
+void intake_writer::handle_append_timeout() {
+    const duration queue = append_latency_.is_slow() ? deps_.log.longest_queue() : duration::zero();
     intake_entries again;
     for (intake_entry& sent : std::exchange(batch_, {})) {
-        if (std::exchange(sent.doubtful, true))
-            end_in_doubt(sent);
-        else if (!sent.has_ended())
+        if (std::exchange(sent.may_be_stored, true))
+            complete_as_unknown(sent);
+        else if (!sent.is_complete())
             again.push_back(std::move(sent));
     }
     for (intake_entry& sent : again)
-        sent.append_from = sent_at_ + queue;
-    next_send_ = with_.time.now();
+        sent.append_not_before = sent_at_ + queue;
+    next_send_ = deps_.time.now();
     waiting_.put_back(std::move(again));
 }
 
@@ -244,68 +248,68 @@
 /// entries that can be handed over or can wait for as long as the longest queue are retried. The
 /// others fail now, so that their callers can go to another host. For entries of which an earlier
 /// append timed out the outcome stays unknown, because that append may still be stored.
-void intake_writer::take_refusal() {
-    next_send_ = with_.time.now() + retry_period;
+void intake_writer::handle_append_rejection() {
+    next_send_ = deps_.time.now() + retry_period;
     intake_entries refused = std::exchange(batch_, {});
-    full_ = with_.log_answers();
-    if (!full_)
-        return refuse_all(std::move(refused));
-    pace_.note_full();
+    log_queue_full_ = deps_.log_answers();
+    if (!log_queue_full_)
+        return reject_all(std::move(refused));
+    append_latency_.on_queue_full();
     intake_entries again;
     for (intake_entry& entry : refused) {
-        const bool can_wait = entry.deadline - with_.time.now() > with_.log.longest_queue();
-        if (can_wait || (hands_over() && !entry.own))
+        const bool can_wait = entry.deadline - deps_.time.now() > deps_.log.longest_queue();
+        if (can_wait || (uses_shared_writer() && !entry.append_locally))
             again.push_back(std::move(entry));
         else
-            refuse(entry);
+            reject(entry);
     }
     waiting_.put_back(std::move(again));
 }
 
-void intake_writer::refuse(intake_entry& entry) {
-    if (entry.doubtful)
-        return end_in_doubt(entry);
-    entry.end(intake_outcome::not_stored);
+void intake_writer::reject(intake_entry& entry) {
+    if (entry.may_be_stored)
+        return complete_as_unknown(entry);
+    entry.complete(intake_outcome::not_stored);
 }
 
-void intake_writer::refuse_all(intake_entries entries) {
+void intake_writer::reject_all(intake_entries entries) {
     for (intake_entry& entry : entries)
-        refuse(entry);
+        reject(entry);
 }
 
 /// Handles the outcome of a handover. Entries are handed over only once: if the shared writer
 /// didn't take them, or its answer was lost, this host appends them itself.
-void intake_writer::take_handed(intake_entries entries, const handover_result& result) {
+void intake_writer::handle_handover_result(intake_entries entries, const handover_result& result) {
     switch (result.outcome) {
     case handover_result::kind::stored:
-        pace_.note(result.append);
-        counts_.settled_by_writer += count_doubtful(entries);
+        append_latency_.on_answered(result.writer_latency);
+        counts_.settled_by_writer += count_maybe_stored(entries);
         return commit(std::move(entries), result.offset);
     case handover_result::kind::not_stored:
-        return refuse_all(std::move(entries));
+        return reject_all(std::move(entries));
     case handover_result::kind::unknown:
         for (intake_entry& entry : entries)
-            entry.doubtful = true;
+            entry.may_be_stored = true;
         break;
     case handover_result::kind::not_taken:
         break;
     }
     for (intake_entry& entry : entries)
-        entry.own = true;
+        entry.append_locally = true;
     waiting_.put_back(std::move(entries));
-    send_what_waits();
+    send_waiting();
 }
 
 void intake_writer::commit(intake_entries stored, std::uint64_t offset) {
     for (intake_entry& entry : stored) {
         for (stored_record& record : entry.records) {
             record.offset = offset++;
-            with_.applied(record);
+            deps_.applied(record);
         }
     }
     for (intake_entry& entry : stored)
-        entry.end(intake_outcome::stored, entry.records.front().offset);
-    send_what_waits();
+        entry.complete(intake_outcome::stored, entry.records.front().offset);
+    send_waiting();
 }
 
 } // namespace figwinch
--- a/src/cell_host/intake_writer.h
+++ b/src/cell_host/intake_writer.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "cell_host/append_pace.h"
-#include "cell_host/handover_lane.h"
+#include "cell_host/append_latency_monitor.h"
+#include "cell_host/handover_sender.h"
 #include "cell_host/intake_entry.h"
 #include "cell_host/intake_queue.h"
 #include "figwinch/cell.h"
@@ -20,10 +20,10 @@
     /// Callers whose unanswered append was found in the stream, was confirmed by a retry, or was
     /// confirmed by the cell's shared writer.
     std::uint64_t settled_by_read = 0;
-    std::uint64_t settled_by_repeat = 0;
+    std::uint64_t settled_by_retry = 0;
     std::uint64_t settled_by_writer = 0;
     /// Callers whose records were handed over to the cell's shared writer.
-    std::uint64_t handed = 0;
+    std::uint64_t handed_over = 0;
     /// Callers who were told that the outcome is unknown.
     std::uint64_t left_in_doubt = 0;
 };
@@ -39,19 +39,19 @@
     using handler = std::function<void(intake_outcome, std::uint64_t offset)>;
 
     /// Dependencies of the writer; `time` and `log` must outlive it.
-    struct parts {
+    struct dependencies {
         const clock& time;
         durable_log& log;
         /// Called with each record that the log has stored, before the record's caller is told.
         std::function<void(const stored_record&)> applied;
         /// Whether the log has answered any call of this host recently.
         std::function<bool()> log_answers;
-        /// Looks up records with these keys in the log, passes those that it finds to `note_read`,
-        /// then calls back.
-        std::function<void(const std::vector<std::string>& keys, std::function<void()>)> look_for;
+        /// Looks up records with these keys in the log, passes those that it finds to
+        /// `on_record_read`, then calls back.
+        std::function<void(const std::vector<std::string>& keys, std::function<void()>)> look_up;
     };
 
-    explicit intake_writer(parts with);
+    explicit intake_writer(dependencies deps);
 
     /// Appends one caller's records. Calls back once: as soon as the outcome is known or can't be
     /// determined, and at `deadline` at the latest.
@@ -60,65 +60,69 @@
     void write_for_other(std::vector<stored_record> records, instant deadline, handler done);
     /// Sets the shared writer that gets records while the log is slow; null for none. It must
     /// outlive this object.
-    void hand_to(shared_writer* writer) { lane_.use(writer); }
+    void set_shared_writer(shared_writer* writer) { handover_sender_.set_writer(writer); }
     void tick();
     /// Lowers all later deadlines to `latest`.
-    void end_by(instant latest);
+    void cap_deadlines(instant latest);
     /// Handles a record that was read from the stream.
-    void note_read(const stored_record& record);
+    void on_record_read(const stored_record& record);
     /// Reports that a read of the log has been in flight for `waited`. This shows a slow log to a
     /// host without recent appends before its own appends add to the log's queue.
-    void note_late_read(duration waited);
+    void report_late_read(duration waited);
     /// Estimated time until a record written now is stored, by this host's measurements; zero while
     /// the log isn't slow.
     duration expected_wait() const;
-    std::size_t waiting() const { return waiting_.size() + batch_.size() + lane_.size(); }
-    const append_pace& pace() const { return pace_; }
+    std::size_t waiting() const {
+        return waiting_.size() + batch_.size() + handover_sender_.size();
+    }
+    const append_latency_monitor& append_latency() const { return append_latency_; }
     const intake_counts& counts() const { return counts_; }
 
 private:
-    void send_what_waits();
-    bool hands_over() const { return pace_.is_slow() && lane_.is_open(); }
+    void send_waiting();
+    bool uses_shared_writer() const {
+        return append_latency_.is_slow() && handover_sender_.is_available();
+    }
     bool may_append(const intake_entry& entry) const;
-    void take_handed(intake_entries entries, const handover_result& result);
+    void handle_handover_result(intake_entries entries, const handover_result& result);
     void send();
-    void take(const append_result& result);
-    void take_silence();
-    void take_refusal();
-    bool is_silent() const;
-    void watch_append();
-    void look_for_append();
-    void hand_late_over();
-    void give_up_append();
+    void handle_append_result(const append_result& result);
+    void handle_append_timeout();
+    void handle_append_rejection();
+    bool is_log_unresponsive() const;
+    void check_append();
+    void look_up_append();
+    void hand_over_late_append();
+    void fail_all();
     void abandon_append();
-    void end_overdue();
-    void refuse_hopeless();
-    duration wait_of(std::size_t ahead) const;
+    void expire_waiting();
+    void reject_unmeetable();
+    duration estimated_wait(std::size_t ahead) const;
     bool writes_for_others() const;
-    void end_overdue_on_way(intake_entries& entries);
-    void end_in_doubt(intake_entry& entry);
-    void refuse(intake_entry& entry);
-    void refuse_all(intake_entries entries);
-    void settle_by(intake_entries& entries, const stored_record& record);
+    void expire_sent(intake_entries& entries);
+    void complete_as_unknown(intake_entry& entry);
+    void reject(intake_entry& entry);
+    void reject_all(intake_entries entries);
+    void complete_stored(intake_entries& entries, const stored_record& record);
     void commit(intake_entries stored, std::uint64_t offset);
 
-    parts with_;
-    append_pace pace_;
-    handover_lane lane_;
+    dependencies deps_;
+    append_latency_monitor append_latency_;
+    handover_sender handover_sender_;
     intake_counts counts_;
     intake_queue waiting_;
     intake_entries batch_;
     bool in_flight_ = false;
     /// The log rejected the last append but answers other calls: its queue is full.
-    bool full_ = false;
+    bool log_queue_full_ = false;
     /// Number of the append in flight; replies to earlier ones are ignored.
-    std::uint64_t round_ = 0;
+    std::uint64_t append_number_ = 0;
     instant sent_at_{};
     /// Send time of the first of the appends that have gone unanswered since the last answer.
     std::optional<instant> unanswered_since_;
-    instant next_look_{};
+    instant next_lookup_{};
     /// When another host last handed records over to this one.
-    std::optional<instant> handed_here_;
+    std::optional<instant> last_handover_at_;
     instant next_send_{};
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/cell_host/job_front.cpp
+++ b/src/cell_host/job_api.cpp
@@ -1,4 +1,4 @@
-#include "cell_host/job_front.h"
+#include "cell_host/job_api.h"
 
 #include "figwinch/cell/record_codec.h"
 #include "figwinch/observe.h"
@@ -11,10 +11,10 @@
 namespace figwinch {
 namespace {
 
-constexpr duration default_patience = std::chrono::seconds(3);
+constexpr duration default_timeout = std::chrono::seconds(3);
 // Requests are answered this long before the caller's timeout, so that the response still reaches
 // it; at most half of the timeout.
-constexpr duration answer_margin = std::chrono::milliseconds(300);
+constexpr duration response_margin = std::chrono::milliseconds(300);
 constexpr int status_ok = 200;
 constexpr int status_gone = 410;
 constexpr int status_gateway_timeout = 504;
@@ -33,17 +33,17 @@
 
 } // namespace
 
-void job_front::handle(const http_request& request, const responder& answer) {
-    if (!with_.config)
+void job_api::handle(const http_request& request, const responder& answer) {
+    if (!deps_.config)
         return refuse(answer, result_code::state_not_recovered, "no configuration loaded yet", "");
     const std::string_view host = request.headers.find("Host").value_or("");
-    const queue_config* const queue = with_.config->match(without_port(host), request.path);
+    const queue_config* const queue = deps_.config->match(without_port(host), request.path);
     if (queue == nullptr)
         return refuse(answer, result_code::unknown_path, "no queue matches the host and path", "");
     const std::string rest = request.path.substr(queue->path_prefix.size());
     if (rest.empty() && request.method == http_method::get)
         return show_queue(*queue, request, answer);
-    if (!with_.dialect.is_job_id(rest))
+    if (!deps_.codec.is_job_id(rest))
         return refuse(answer, result_code::invalid_value, "path does not end in a valid job ID",
                       rest);
     const job_id id(rest);
@@ -60,21 +60,21 @@
     }
 }
 
-void job_front::submit(const queue_config& queue, const job_id& id, const http_request& request,
-                       const responder& answer) {
-    const job_entry* const known = with_.state.find(id);
+void job_api::submit(const queue_config& queue, const job_id& id, const http_request& request,
+                     const responder& answer) {
+    const job_entry* const known = deps_.state.find(id);
     if (known != nullptr && known->spec)
         return answer->respond(json_response(status_ok, "{}"));
-    absl::StatusOr<job_spec> job = with_.dialect.decode_submission(request.body);
+    absl::StatusOr<job_spec> job = deps_.codec.decode_submission(request.body);
     if (!job.ok()) {
         const absl::string_view why = job.status().message();
         return refuse(answer, code_of(job.status()), {why.data(), why.size()}, id.str());
     }
     // Fails at once instead of letting the caller wait, because another host may reach the log.
-    if (!with_.log_answers())
+    if (!deps_.log_answers())
         return refuse(answer, result_code::log_unavailable, "log not responding", id.str());
     const instant deadline = deadline_of(request);
-    if (with_.time.now() + with_.writer.expected_wait() > deadline)
+    if (deps_.time.now() + deps_.writer.expected_wait() > deadline)
         return refuse(answer, result_code::log_unavailable, "log too slow to store the job in time",
                       id.str());
     job->queue = queue.name;
@@ -83,18 +83,18 @@
     job->attempts = queue.attempts;
     job->stretch = queue.stretch;
     job->target = queue.target;
-    job->accepted_at = with_.time.wall_now();
+    job->accepted_at = deps_.time.wall_now();
     std::vector<stored_record> records;
     records.push_back({record_key(record_kind::job, id.str()), encode_job(*job), 0});
-    with_.writer.write(
+    deps_.writer.write(
         std::move(records), deadline,
-        [this, id, answer, begun = with_.time.now()](intake_outcome outcome, std::uint64_t) {
+        [this, id, answer, begun = deps_.time.now()](intake_outcome outcome, std::uint64_t) {
             answer_submission(id, answer, outcome, begun);
         });
 }
 
-void job_front::answer_submission(const job_id& id, const responder& answer, intake_outcome outcome,
-                                  instant begun) {
+void job_api::answer_submission(const job_id& id, const responder& answer, intake_outcome outcome,
+                                instant begun) {
     switch (outcome) {
     case intake_outcome::not_stored:
         return refuse(answer, result_code::log_unavailable, "not stored", id.str());
@@ -106,19 +106,19 @@
         return answer->respond(json_response(status_gateway_timeout, "{}"));
     case intake_outcome::stored:
         ++counts_.accepted;
-        with_.accepted(with_.time.now() - begun);
+        deps_.accepted(deps_.time.now() - begun);
         log_event(log_level::info, "job_accepted", {{"job", id.str()}});
         return answer->respond(json_response(status_ok, "{}"));
     }
 }
 
-void job_front::find(const job_id& id, const http_request& request, const responder& answer,
-                     std::function<void(const job_entry&)> found) {
-    with_.jobs.find(id, deadline_of(request),
-                    [this, id, answer, found = std::move(found)](const job_answer& told) {
-                        if (told.known == job_answer::kind::found)
-                            return found(told.job);
-                        if (told.known == job_answer::kind::cant_tell)
+void job_api::find(const job_id& id, const http_request& request, const responder& answer,
+                   std::function<void(const job_entry&)> found) {
+    deps_.jobs.find(id, deadline_of(request),
+                    [this, id, answer, found = std::move(found)](const job_answer& result) {
+                        if (result.outcome == job_answer::kind::found)
+                            return found(result.job);
+                        if (result.outcome == job_answer::kind::undetermined)
                             return refuse(answer, result_code::log_unavailable,
                                           "no up-to-date replica answered in time", id.str());
                         log_event(log_level::info, "job_unknown", {{"job", id.str()}});
@@ -126,14 +126,14 @@
                     });
 }
 
-void job_front::show(const job_id& id, const http_request& request, const responder& answer) {
-    ++counts_.asked;
+void job_api::show(const job_id& id, const http_request& request, const responder& answer) {
+    ++counts_.queries;
     find(id, request, answer, [this, answer](const job_entry& job) {
-        answer->respond(json_response(status_ok, with_.dialect.encode_state(job)));
+        answer->respond(json_response(status_ok, deps_.codec.encode_state(job)));
     });
 }
 
-void job_front::cancel(const job_id& id, const http_request& request, const responder& answer) {
+void job_api::cancel(const job_id& id, const http_request& request, const responder& answer) {
     const instant deadline = deadline_of(request);
     find(id, request, answer, [this, id, deadline, answer](const job_entry& job) {
         if (job.cancel_wanted || job.phase != job_phase::open)
@@ -142,10 +142,10 @@
     });
 }
 
-void job_front::write_cancellation(const job_id& id, instant deadline, const responder& answer) {
+void job_api::write_cancellation(const job_id& id, instant deadline, const responder& answer) {
     std::vector<stored_record> records;
     records.push_back({record_key(record_kind::cancellation, id.str()), "1", 0});
-    with_.writer.write(std::move(records), deadline,
+    deps_.writer.write(std::move(records), deadline,
                        [this, id, answer](auto outcome, std::uint64_t) {
                            if (outcome != intake_outcome::stored)
                                return refuse(answer, result_code::log_unavailable,
@@ -156,20 +156,20 @@
                        });
 }
 
-void job_front::show_queue(const queue_config& queue, const http_request& request,
-                           const responder& answer) {
-    ++counts_.asked;
-    with_.jobs.count_waiting(
+void job_api::show_queue(const queue_config& queue, const http_request& request,
+                         const responder& answer) {
+    ++counts_.queries;
+    deps_.jobs.count_waiting(
         queue.name, deadline_of(request), [this, answer](std::optional<std::size_t> waiting) {
             if (!waiting)
                 return refuse(answer, result_code::log_unavailable,
                               "no up-to-date replica answered in time", "");
-            answer->respond(json_response(status_ok, with_.dialect.encode_waiting(*waiting)));
+            answer->respond(json_response(status_ok, deps_.codec.encode_waiting(*waiting)));
         });
 }
 
-void job_front::refuse(const responder& answer, result_code code, std::string_view why,
-                       const std::string& job) {
+void job_api::refuse(const responder& answer, result_code code, std::string_view why,
+                     const std::string& job) {
     const result_info& row = info(code);
     ++counts_.refused;
     log_event(log_level::info, "request_refused",
@@ -185,26 +185,26 @@
 /// The value of the Retry-After header: the time that a slow log needs for the entries waiting
 /// here, plus up to as much again by a hash of the job, so that callers refused together don't
 /// retry together.
-std::chrono::seconds job_front::retry_after(const result_info& row, const std::string& job) const {
+std::chrono::seconds job_api::retry_after(const result_info& row, const std::string& job) const {
     using std::chrono::seconds;
     const auto least = std::chrono::ceil<seconds>(*row.retry_after);
-    const auto queue = std::chrono::ceil<seconds>(with_.writer.expected_wait());
+    const auto queue = std::chrono::ceil<seconds>(deps_.writer.expected_wait());
     if (queue == seconds::zero())
         return least;
     const auto spread = stable_hash(job) % static_cast<std::uint64_t>(queue.count() + 1);
     return std::max(least, queue + seconds(spread));
 }
 
-instant job_front::deadline_of(const http_request& request) const {
-    const duration patience = with_.dialect.patience(request).value_or(default_patience);
-    const instant end = with_.time.now() + patience - std::min(answer_margin, patience / 2);
-    return std::min(end, latest_end_);
+instant job_api::deadline_of(const http_request& request) const {
+    const duration timeout = deps_.codec.caller_timeout(request).value_or(default_timeout);
+    const instant end = deps_.time.now() + timeout - std::min(response_margin, timeout / 2);
+    return std::min(end, latest_deadline_);
 }
 
-void job_front::end_by(instant latest) {
-    latest_end_ = latest;
-    with_.jobs.end_by(latest);
-    with_.writer.end_by(latest);
+void job_api::cap_deadlines(instant latest) {
+    latest_deadline_ = latest;
+    deps_.jobs.cap_deadlines(latest);
+    deps_.writer.cap_deadlines(latest);
 }
 
 } // namespace figwinch
--- a/src/cell_host/job_front.h
+++ b/src/cell_host/job_api.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "cell_host/intake_writer.h"
-#include "cell_host/job_source.h"
+#include "cell_host/job_lookup.h"
 #include "figwinch/net.h"
 
 #include <absl/status/statusor.h>
@@ -11,23 +11,23 @@
 namespace figwinch {
 
 /// Translates between callers' HTTP bodies and jobs. Implemented by platform/.
-class job_dialect {
+class job_api_codec {
 public:
-    virtual ~job_dialect() = default;
+    virtual ~job_api_codec() = default;
     virtual absl::StatusOr<job_spec> decode_submission(std::string_view body) const = 0;
     virtual bool is_job_id(std::string_view text) const = 0;
     virtual std::string encode_state(const job_entry& job) const = 0;
     virtual std::string encode_waiting(std::size_t jobs) const = 0;
     /// The caller's timeout; nullopt if the request doesn't state it.
-    virtual std::optional<duration> patience(const http_request& request) const = 0;
+    virtual std::optional<duration> caller_timeout(const http_request& request) const = 0;
 };
 
 /// Counters of callers' requests and their results, for metrics.
-struct job_front_counts {
+struct job_api_counts {
     std::uint64_t accepted = 0;
     std::uint64_t refused = 0;
     std::uint64_t unknown = 0;
-    std::uint64_t asked = 0;
+    std::uint64_t queries = 0;
     std::uint64_t cancelled = 0;
 };
 
@@ -36,17 +36,17 @@
 /// submission that can't be stored before its caller's timeout is refused at once. Every request is
 /// answered before its caller's timeout, whatever the log and other hosts do. Owned by the host's
 /// daemon.
-class job_front {
+class job_api {
 public:
     /// Dependencies, which must outlive this object. `config` is empty until a configuration has
     /// been read.
-    struct parts {
+    struct dependencies {
         const clock& time;
-        const job_dialect& dialect;
+        const job_api_codec& codec;
         const std::optional<cell_config>& config;
         /// This host's read replica of the cell's jobs; empty on hosts that keep none.
         const cell_state& state;
-        job_source& jobs;
+        job_lookup& jobs;
         intake_writer& writer;
         /// Whether the log has answered this host recently.
         std::function<bool()> log_answers;
@@ -54,12 +54,12 @@
         std::function<void(duration)> accepted;
     };
 
-    explicit job_front(parts with) : with_(std::move(with)) {}
+    explicit job_api(dependencies deps) : deps_(std::move(deps)) {}
 
     void handle(const http_request& request, const std::shared_ptr<http_responder>& answer);
     /// For a planned stop: answers all requests, also those in progress, by `latest`.
-    void end_by(instant latest);
-    const job_front_counts& counts() const { return counts_; }
+    void cap_deadlines(instant latest);
+    const job_api_counts& counts() const { return counts_; }
 
 private:
     using responder = std::shared_ptr<http_responder>;
@@ -82,9 +82,9 @@
     std::chrono::seconds retry_after(const result_info& row, const std::string& job) const;
     instant deadline_of(const http_request& request) const;
 
-    parts with_;
-    job_front_counts counts_;
-    instant latest_end_ = instant::max();
+    dependencies deps_;
+    job_api_counts counts_;
+    instant latest_deadline_ = instant::max();
 };
 
 } // namespace figwinch
--- a/src/cell_host/question_codec.cpp
+++ b/src/cell_host/job_query_codec.cpp
@@ -1,4 +1,4 @@
-#include "cell_host/question_codec.h"
+#include "cell_host/job_query_codec.h"
 
 #include "question.pb.h"
 
@@ -11,9 +11,9 @@
 
 } // namespace
 
-std::string encode_question(const job_question& question) {
+std::string encode_job_query(const job_query& question) {
     pb::JobQuestion message;
-    message.set_patience_ms(question.patience / std::chrono::milliseconds(1));
+    message.set_patience_ms(question.timeout / std::chrono::milliseconds(1));
     if (const job_id* const job = std::get_if<job_id>(&question.about))
         message.set_job(job->str());
     else
@@ -21,23 +21,23 @@
     return message.SerializeAsString();
 }
 
-std::optional<job_question> decode_question(std::string_view bytes) {
+std::optional<job_query> decode_job_query(std::string_view bytes) {
     pb::JobQuestion message;
     if (!parse(message, bytes))
         return std::nullopt;
-    const duration patience = std::chrono::milliseconds(message.patience_ms());
+    const duration timeout = std::chrono::milliseconds(message.patience_ms());
     if (message.about_case() == pb::JobQuestion::kJob)
-        return job_question{patience, job_id(message.job())};
+        return job_query{timeout, job_id(message.job())};
     if (message.about_case() == pb::JobQuestion::kQueue)
-        return job_question{patience, queue_name(message.queue())};
+        return job_query{timeout, queue_name(message.queue())};
     return std::nullopt;
 }
 
 std::string encode_job_answer(const job_answer& answer) {
     pb::JobAnswer message;
-    if (answer.known == job_answer::kind::unknown)
+    if (answer.outcome == job_answer::kind::unknown)
         message.set_kind(pb::JobAnswer::UNKNOWN);
-    if (answer.known == job_answer::kind::found) {
+    if (answer.outcome == job_answer::kind::found) {
         message.set_kind(pb::JobAnswer::STATE);
         message.set_phase(static_cast<std::uint32_t>(answer.job.phase));
         message.set_begun(answer.job.begun);
@@ -52,11 +52,11 @@
     if (!parse(message, bytes))
         return answer;
     if (message.kind() == pb::JobAnswer::UNKNOWN)
-        answer.known = job_answer::kind::unknown;
+        answer.outcome = job_answer::kind::unknown;
     constexpr auto last_phase = static_cast<std::uint32_t>(job_phase::cancelled);
     if (message.kind() != pb::JobAnswer::STATE || message.phase() > last_phase)
         return answer;
-    answer.known = job_answer::kind::found;
+    answer.outcome = job_answer::kind::found;
     answer.job.id = id;
     answer.job.spec = std::make_shared<const job_spec>();
     answer.job.phase = static_cast<job_phase>(message.phase());
--- a/src/cell_host/main.cpp
+++ b/src/cell_host/main.cpp
@@ -20,18 +20,18 @@
     check_cell_flags(reader);
     if (!reader.accept())
         return 2;
-    const cell_host_settings with = read_cell_flags();
-    start_logging("figwinch-cell", with.node, with.level);
+    const cell_host_settings settings = read_cell_flags();
+    start_logging("figwinch-cell", settings.node, settings.level);
     event_loop loop;
-    const incarnation_id self(with.node + "#" + std::to_string(std::random_device{}()));
-    platform::http_platform platform(loop, with.log, with.advisor);
-    cell_host host(loop, platform, with, self);
+    const incarnation_id self(settings.node + "#" + std::to_string(std::random_device{}()));
+    platform::http_platform platform(loop, settings.log, settings.advisor);
+    cell_host host(loop, platform, settings, self);
     if (const absl::Status listening = host.listen(); !listening.ok()) {
         std::cerr << listening.message() << '\n';
         return 2;
     }
     log_event(log_level::info, "listening",
-              {{"callers", to_string(with.callers)}, {"incarnation", self.str()}});
+              {{"callers", to_string(settings.callers)}, {"incarnation", self.str()}});
     const auto on_term = loop.on_signal(SIGTERM, [&host] { host.stop(); });
     const auto on_interrupt = loop.on_signal(SIGINT, [&host] { host.stop(); });
     // Settings are flags: what changes while the process runs comes through the log.
--- a/src/cell_host/predecessor_asker.h
+++ b/src/cell_host/predecessor_asker.h
@@ -13,24 +13,24 @@
 /// learns of its successor. Driven by `tick`. Owned by `cell_member` during one leadership term.
 class predecessor_asker {
 public:
-    /// `peers` must outlive this object. `take` is called at most once, with the predecessor's
+    /// `peers` must outlive this object. `on_answer` is called at most once, with the predecessor's
     /// answer.
     predecessor_asker(const clock& time, peer_asker& peers, const reign_view& predecessor,
                       lease_epoch epoch, instant acts_until,
-                      std::function<void(const outstanding_orders&)> take);
+                      std::function<void(const outstanding_orders&)> on_answer);
 
     void tick();
     bool is_answered() const { return answered_; }
 
 private:
-    void take_reply(const std::optional<std::string>& bytes);
+    void handle_reply(const std::optional<std::string>& bytes);
 
     const clock& time_;
     peer_asker& peers_;
-    std::string where_;
+    std::string address_;
     std::string message_;
     instant acts_until_;
-    std::function<void(const outstanding_orders&)> take_;
+    std::function<void(const outstanding_orders&)> on_answer_;
     bool answered_ = false;
     bool in_flight_ = false;
     instant next_ask_{};
--- a/src/cell_host/shared_writer.h
+++ b/src/cell_host/shared_writer.h
@@ -23,7 +23,7 @@
     /// Offset of the first record, if stored.
     std::uint64_t offset = 0;
     /// Latency of the writer's most recent append.
-    duration append{};
+    duration writer_latency{};
 };
 
 /// Hands records over to the cell's shared writer: the one host that appends for all hosts while
@@ -34,10 +34,10 @@
 
     virtual ~shared_writer() = default;
     /// Whether another host is the shared writer and isn't known to be unresponsive.
-    virtual bool is_open() const = 0;
-    /// Calls back once, within `patience`, and earlier if the writer is found unresponsive.
-    virtual void hand(const std::vector<stored_record>& records, duration patience,
-                      handler done) = 0;
+    virtual bool is_available() const = 0;
+    /// Calls back once, within `timeout`, and earlier if the writer is found unresponsive.
+    virtual void hand_over(const std::vector<stored_record>& records, duration timeout,
+                           handler done) = 0;
 };
 
 } // namespace figwinch
--- a/src/cell_host/worker_list.cpp
+++ b/src/cell_host/worker_list.cpp
@@ -4,15 +4,15 @@
 
 namespace figwinch {
 
-void worker_list::take(const stored_record& record) {
+void worker_list::apply(const stored_record& record) {
     const worker_id id(record.key);
     if (record.value)
-        take_entry(id, *record.value);
+        apply_entry(id, *record.value);
     else
         erase(id);
 }
 
-void worker_list::take_entry(const worker_id& id, std::string_view bytes) {
+void worker_list::apply_entry(const worker_id& id, std::string_view bytes) {
     const auto known = entries_.find(id);
     const std::optional<std::uint64_t> digest = platform_.listing_digest(bytes);
     if (known != entries_.end() && digest && known->second.digest == digest)
@@ -37,11 +37,11 @@
         changed_ = true;
 }
 
-bool worker_list::take_changed() {
+bool worker_list::poll_changed() {
     return std::exchange(changed_, false);
 }
 
-std::vector<worker_listing> worker_list::rows() const {
+std::vector<worker_listing> worker_list::listings() const {
     std::vector<worker_listing> rows;
     rows.reserve(entries_.size());
     for (const auto& [id, known] : entries_)
--- a/src/cell_host/worker_list.h
+++ b/src/cell_host/worker_list.h
@@ -14,11 +14,11 @@
 public:
     explicit worker_list(const cell_platform& platform) : platform_(platform) {}
 
-    void take(const stored_record& record);
+    void apply(const stored_record& record);
     /// Whether the list has changed since the last call.
-    bool take_changed();
+    bool poll_changed();
     /// All workers, sorted by ID.
-    std::vector<worker_listing> rows() const;
+    std::vector<worker_listing> listings() const;
 
 private:
     struct entry {
@@ -26,7 +26,7 @@
         worker_listing listing;
     };
 
-    void take_entry(const worker_id& id, std::string_view bytes);
+    void apply_entry(const worker_id& id, std::string_view bytes);
     void erase(const worker_id& id);
 
     const cell_platform& platform_;
--- a/src/simulation/sim_host.h
+++ b/src/simulation/sim_host.h
@@ -56,7 +56,7 @@
     durable_log& log() override { return log_; }
     worker_orders& orders() override { return orders_; }
     worker_advisor& advisor() override { return advisor_; }
-    const job_dialect& dialect() const override { std::abort(); }
+    const job_api_codec& job_codec() const override { std::abort(); }
     bool is_config_key(std::string_view key) const override { return key == "config"; }
     /// The value is the version.
     std::optional<cell_config> decode_config(std::string_view value) const override {
@@ -83,12 +83,12 @@
         const std::string_view body = message.substr(1);
         const auto kind = static_cast<peer_message>(message.front());
         if (kind == peer_message::offer)
-            return reply(member_.take_offer(body));
+            return reply(member_.handle_offer(body));
         if (kind == peer_message::step_down)
-            return reply(member_.take_step_down(body));
+            return reply(member_.handle_step_down(body));
         if (kind == peer_message::question)
-            return member_.take_question(body, reply);
-        reply(member_.take_exchange(body));
+            return member_.handle_query(body, reply);
+        reply(member_.handle_exchange(body));
     }
     void schedule() {
         time_.after(std::chrono::milliseconds(10), [this, weak = std::weak_ptr(alive_)] {
--- a/tests/cell/cell_world.h
+++ b/tests/cell/cell_world.h
@@ -129,7 +129,7 @@
         // No longer than it takes: ended jobs are forgotten in time.
         while (!*told && time_.now() < end)
             time_.run_for(step);
-        if (!*told || (*told)->known != job_answer::kind::found)
+        if (!*told || (*told)->outcome != job_answer::kind::found)
             return std::nullopt;
         return (*told)->job;
     }
--- a/tests/cell/history_judge.cpp
+++ b/tests/cell/history_judge.cpp
@@ -23,7 +23,7 @@
 
 std::string history_judge::judge_job(const std::string& id) {
     for (std::size_t host = 0; host < world_.hosts(); ++host) {
-        const bool asks = !world_.host(host)->member().has_copy();
+        const bool asks = !world_.host(host)->member().has_replica();
         const std::optional<job_entry> asked = asks ? world_.ask(host, id) : std::nullopt;
         const job_entry* const job = asked ? &*asked : world_.job(host, id);
         if (job == nullptr || !job->spec)
--- a/tests/cell_host/called_host.h
+++ b/tests/cell_host/called_host.h
@@ -19,16 +19,16 @@
     std::unique_ptr<cell_host> host;
     std::unique_ptr<http_client> client;
 
-    void start(cell_host_settings with = {}) {
+    void start(cell_host_settings settings = {}) {
         constexpr std::uint16_t first_port = 7720;
-        with.node = "host-1";
-        with.callers = {own_address(), first_port};
-        with.ready = {own_address(), first_port + 1};
-        with.bus = {own_address(), first_port + 2};
-        with.metrics = {own_address(), first_port + 3};
-        host = std::make_unique<cell_host>(loop, platform, with, incarnation_id("host-1#1"));
+        settings.node = "host-1";
+        settings.callers = {own_address(), first_port};
+        settings.ready = {own_address(), first_port + 1};
+        settings.bus = {own_address(), first_port + 2};
+        settings.metrics = {own_address(), first_port + 3};
+        host = std::make_unique<cell_host>(loop, platform, settings, incarnation_id("host-1#1"));
         CPPUNIT_ASSERT(host->listen().ok());
-        client = http_client::create(loop, with.callers, 4);
+        client = http_client::create(loop, settings.callers, 4);
         run_for(std::chrono::milliseconds(200));
     }
     void end() {
@@ -39,14 +39,14 @@
         const auto timer = loop.after(span, [this] { loop.stop(); });
         loop.run();
     }
-    /// A request about a job of the only queue, from a caller with a timeout of `patience`.
+    /// A request about a job of the only queue, from a caller with the timeout `caller_timeout`.
     static http_request request_about(const std::string& job, http_method method,
-                                      duration patience) {
+                                      duration caller_timeout) {
         http_request request;
         request.method = method;
         request.path = "/jobs/" + job;
         request.headers.add("Host", "gate.example");
-        const auto patience_ms = patience / std::chrono::milliseconds(1);
+        const auto patience_ms = caller_timeout / std::chrono::milliseconds(1);
         request.headers.add("Patience-Ms", std::to_string(patience_ms));
         return request;
     }
--- a/tests/cell_host/caller_patience_test.cpp
+++ b/tests/cell_host/caller_patience_test.cpp
@@ -1,6 +1,6 @@
-#include "cell_host/job_front.h"
+#include "cell_host/job_api.h"
 
-#include "cell_host/local_jobs.h"
+#include "cell_host/local_job_lookup.h"
 #include "tests/cell_host/fake_platform.h"
 
 #include <cppunit/TestFixture.h>
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-class kept_answer final : public http_responder {
+class recorded_response final : public http_responder {
 public:
     std::optional<http_response> sent;
     void respond(http_response response) override { sent = std::move(response); }
@@ -35,20 +35,20 @@
     intake_writer writer_{{time_, platform_.log(), [](const stored_record&) {}, [] { return true; },
                            [](const auto&, const auto&) {}}};
     // Reads of the log never complete.
-    local_jobs jobs_{time_, state_, [](const std::function<void(bool)>&) {}};
-    job_front front_{{time_, platform_.dialect(), config_, state_, jobs_, writer_,
-                      [] { return true; }, [](duration) {}}};
+    local_job_lookup jobs_{time_, state_, [](const std::function<void(bool)>&) {}};
+    job_api front_{{time_, platform_.job_codec(), config_, state_, jobs_, writer_,
+                    [] { return true; }, [](duration) {}}};
 
-    /// The response that a caller with a timeout of `patience` has got by `after` its request.
-    std::optional<http_response> ask(http_method method, milliseconds patience,
+    /// The response that a caller with the timeout `caller_timeout` has got by `after` its request.
+    std::optional<http_response> ask(http_method method, milliseconds caller_timeout,
                                      milliseconds after) {
         platform_.held().held = {cell_stream::intake};
         http_request request;
         request.method = method;
         request.path = "/jobs/0123456789abcdef";
         request.headers.add("Host", "gate.example");
-        request.headers.add("Patience-Ms", std::to_string(patience.count()));
-        const auto answer = std::make_shared<kept_answer>();
+        request.headers.add("Patience-Ms", std::to_string(caller_timeout.count()));
+        const auto answer = std::make_shared<recorded_response>();
         front_.handle(request, answer);
         time_.advance(after);
         writer_.tick();
@@ -59,9 +59,9 @@
 public:
     /// Guards against queries with short timeouts that are answered only after the timeout.
     void a_question_ends_before_its_caller_gives_up() {
-        for (const int patience : {0, 1, 100, 200, 299, 300, 400, 3000}) {
+        for (const int caller_timeout : {0, 1, 100, 200, 299, 300, 400, 3000}) {
             const auto answer =
-                ask(http_method::get, milliseconds(patience), milliseconds(patience));
+                ask(http_method::get, milliseconds(caller_timeout), milliseconds(caller_timeout));
             CPPUNIT_ASSERT(answer.has_value());
             CPPUNIT_ASSERT_EQUAL(503, answer->status);
         }
--- a/tests/cell_host/cell_host_test.cpp
+++ b/tests/cell_host/cell_host_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr int status_unavailable = 503;
 constexpr int status_in_doubt = 504;
-constexpr duration patience = milliseconds(800);
+constexpr duration caller_timeout = milliseconds(800);
 
 /// Tests a complete `cell_host` on a fake platform through its HTTP API.
 class cell_host_test : public CppUnit::TestFixture {
@@ -30,7 +30,7 @@
     std::optional<http_response> ask(http_method method,
                                      const std::string& job = "0123456789abcdef") {
         std::optional<call_result> result;
-        host_.client->call(called_host::request_about(job, method, patience), patience,
+        host_.client->call(called_host::request_about(job, method, caller_timeout), caller_timeout,
                            [&](call_result ended) {
                                result = std::move(ended);
                                host_.loop.stop();
--- a/tests/cell_host/fake_platform.h
+++ b/tests/cell_host/fake_platform.h
@@ -72,7 +72,7 @@
 };
 
 /// Ignores bodies; the header `Patience-Ms` holds the caller's timeout.
-class fake_dialect final : public job_dialect {
+class fake_job_codec final : public job_api_codec {
 public:
     absl::StatusOr<job_spec> decode_submission(std::string_view) const override {
         job_spec job;
@@ -82,7 +82,7 @@
     bool is_job_id(std::string_view text) const override { return !text.empty(); }
     std::string encode_state(const job_entry&) const override { return "{}"; }
     std::string encode_waiting(std::size_t) const override { return "{}"; }
-    std::optional<duration> patience(const http_request& request) const override {
+    std::optional<duration> caller_timeout(const http_request& request) const override {
         const auto text = request.headers.find("Patience-Ms");
         if (!text)
             return std::nullopt;
@@ -102,7 +102,7 @@
     durable_log& log() override { return log_; }
     worker_orders& orders() override { return *this; }
     worker_advisor& advisor() override { return *this; }
-    const job_dialect& dialect() const override { return dialect_; }
+    const job_api_codec& job_codec() const override { return dialect_; }
     bool is_config_key(std::string_view key) const override { return key == "config"; }
     std::optional<cell_config> decode_config(std::string_view) const override {
         cell_config config;
@@ -129,7 +129,7 @@
 
 private:
     held_log log_;
-    fake_dialect dialect_;
+    fake_job_codec dialect_;
 };
 
 } // namespace figwinch
--- a/tests/cell_host/intake_writer_test.cpp
+++ b/tests/cell_host/intake_writer_test.cpp
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr duration patience = milliseconds(2700);
+constexpr duration caller_timeout = milliseconds(2700);
 
 /// Tests `intake_writer` on a log that is slow, unresponsive or loses replies.
 class intake_writer_test : public CppUnit::TestFixture {
@@ -30,7 +30,7 @@
     sim::sim_store store_;
 
     std::size_t stored_records() { return store_.of(cell_stream::intake).records.size(); }
-    static void assert_told(intake_outcome expected, const sim::told& answer) {
+    static void assert_told(intake_outcome expected, const sim::submission_result& answer) {
         CPPUNIT_ASSERT(answer.outcome.has_value());
         CPPUNIT_ASSERT(*answer.outcome == expected);
     }
@@ -43,7 +43,7 @@
         time_.run_for(milliseconds(100));
         store_.service[cell_stream::intake] = milliseconds(800);
         host.log.patience = milliseconds(500);
-        const auto answer = host.submit("a", patience);
+        const auto answer = host.submit("a", caller_timeout);
         time_.run_for(seconds(4));
         assert_told(intake_outcome::stored, *answer);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, stored_records());
@@ -55,7 +55,7 @@
         time_.run_for(milliseconds(100));
         host.log.lost_answers = 1;
         const instant begun = time_.now();
-        const auto answer = host.submit("a", patience);
+        const auto answer = host.submit("a", caller_timeout);
         time_.run_for(seconds(4));
         assert_told(intake_outcome::stored, *answer);
         CPPUNIT_ASSERT(answer->at - begun < milliseconds(600));
@@ -68,8 +68,8 @@
         time_.run_for(milliseconds(100));
         host.log.state = sim::sim_log::way::silent;
         const instant begun = time_.now();
-        const auto sent = host.submit("a", patience);
-        const auto behind = host.submit("b", patience);
+        const auto sent = host.submit("a", caller_timeout);
+        const auto behind = host.submit("b", caller_timeout);
         time_.run_for(seconds(4));
         assert_told(intake_outcome::unknown, *sent);
         CPPUNIT_ASSERT(sent->at - begun < milliseconds(1100));
@@ -81,28 +81,28 @@
         sim::intake_host host(time_, store_);
         const auto one_each_100_ms = [&](int count) {
             for (int i = 0; i < count; ++i) {
-                host.submit(std::to_string(time_.now().time_since_epoch().count()), patience);
+                host.submit(std::to_string(time_.now().time_since_epoch().count()), caller_timeout);
                 time_.run_for(milliseconds(100));
             }
         };
         one_each_100_ms(10);
-        CPPUNIT_ASSERT(!host.writer.pace().is_slow());
+        CPPUNIT_ASSERT(!host.writer.append_latency().is_slow());
         store_.service[cell_stream::intake] = milliseconds(500);
         one_each_100_ms(20);
-        CPPUNIT_ASSERT(host.writer.pace().is_slow());
+        CPPUNIT_ASSERT(host.writer.append_latency().is_slow());
         store_.service[cell_stream::intake] = milliseconds(2);
         one_each_100_ms(10);
-        CPPUNIT_ASSERT(!host.writer.pace().is_slow());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, host.writer.pace().times_slow());
+        CPPUNIT_ASSERT(!host.writer.append_latency().is_slow());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, host.writer.append_latency().times_slow());
     }
     /// Guards against callers that wait until their deadlines although the append before theirs
     /// takes longer than that.
     void a_record_that_cant_be_stored_in_time_is_refused_before_the_deadline() {
         sim::intake_host host(time_, store_);
         store_.service[cell_stream::intake] = milliseconds(1500);
-        host.submit("a", patience);
+        host.submit("a", caller_timeout);
         time_.run_for(milliseconds(1600));
-        host.submit("b", patience);
+        host.submit("b", caller_timeout);
         time_.run_for(milliseconds(100));
         CPPUNIT_ASSERT(host.writer.expected_wait() > milliseconds(2800));
         const instant begun = time_.now();
@@ -118,7 +118,7 @@
         store_.service[cell_stream::intake] = milliseconds(2200);
         CPPUNIT_ASSERT(store_.admit(cell_stream::intake, time_.now()).has_value());
         store_.service[cell_stream::intake] = milliseconds(2);
-        const auto answer = host.submit("a", patience);
+        const auto answer = host.submit("a", caller_timeout);
         time_.run_for(seconds(4));
         assert_told(intake_outcome::stored, *answer);
     }
--- a/tests/cell_host/planned_stop_test.cpp
+++ b/tests/cell_host/planned_stop_test.cpp
@@ -30,15 +30,15 @@
     std::optional<call_result> result_;
 
     void start() {
-        cell_host_settings with;
-        with.grace = grace;
-        host_.start(with);
+        cell_host_settings settings;
+        settings.grace = grace;
+        host_.start(settings);
         host_.platform.held().held = {cell_stream::intake};
     }
     void ask(http_method method) {
-        constexpr duration patience = seconds(30);
-        host_.client->call(called_host::request_about("0123456789abcdef", method, patience),
-                           patience, [this](call_result ended) {
+        constexpr duration caller_timeout = seconds(30);
+        host_.client->call(called_host::request_about("0123456789abcdef", method, caller_timeout),
+                           caller_timeout, [this](call_result ended) {
                                result_ = std::move(ended);
                                host_.loop.stop();
                            });
--- a/tests/cell_host/reading_role_test.cpp
+++ b/tests/cell_host/replica_role_test.cpp
@@ -1,4 +1,4 @@
-#include "cell_host/reading_role.h"
+#include "cell_host/replica_role.h"
 
 #include <cppunit/TestFixture.h>
 #include <cppunit/extensions/HelperMacros.h>
@@ -12,8 +12,8 @@
 using std::chrono::seconds;
 
 /// Tests when a host keeps a read replica of the cell's jobs.
-class reading_role_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(reading_role_test);
+class replica_role_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(replica_role_test);
     CPPUNIT_TEST(a_host_reads_until_it_is_told);
     CPPUNIT_TEST(a_host_without_a_coordinator_reads);
     CPPUNIT_TEST(hosts_begin_to_read_at_different_times);
@@ -22,16 +22,16 @@
     CPPUNIT_TEST_SUITE_END();
 
     manual_clock time_;
-    reading_role role_{time_, incarnation_id("host-1#1")};
+    replica_role role_{time_, incarnation_id("host-1#1")};
 
-    static offer_reply told(reading_part part) {
+    static offer_reply assignment(reading_part part) {
         offer_reply reply;
         reply.part = part;
         reply.coordinates = true;
         reply.readers = reader_list({{"a:1", data_centre_id("a")}});
         return reply;
     }
-    void run_for(reading_role& role, duration span, bool vacant) {
+    void run_for(replica_role& role, duration span, bool vacant) {
         for (duration gone{}; gone < span; gone += milliseconds(100)) {
             time_.advance(milliseconds(100));
             role.tick(vacant);
@@ -40,68 +40,68 @@
 
 public:
     void a_host_reads_until_it_is_told() {
-        CPPUNIT_ASSERT(role_.reads());
-        role_.take(told(reading_part::undecided));
-        CPPUNIT_ASSERT(role_.reads());
-        role_.take(told(reading_part::asker));
-        CPPUNIT_ASSERT(!role_.reads());
-        role_.take(told(reading_part::reader));
-        CPPUNIT_ASSERT(role_.reads());
+        CPPUNIT_ASSERT(role_.is_replica());
+        role_.apply(assignment(reading_part::undecided));
+        CPPUNIT_ASSERT(role_.is_replica());
+        role_.apply(assignment(reading_part::asker));
+        CPPUNIT_ASSERT(!role_.is_replica());
+        role_.apply(assignment(reading_part::reader));
+        CPPUNIT_ASSERT(role_.is_replica());
     }
     /// Guards against a cell that stays without a coordinator because all hosts with replicas,
     /// which alone may succeed it, are lost.
     void a_host_without_a_coordinator_reads() {
-        role_.take(told(reading_part::asker));
+        role_.apply(assignment(reading_part::asker));
         run_for(role_, seconds(20), false);
-        CPPUNIT_ASSERT(!role_.reads());
+        CPPUNIT_ASSERT(!role_.is_replica());
         run_for(role_, seconds(1), true);
-        CPPUNIT_ASSERT(!role_.reads());
+        CPPUNIT_ASSERT(!role_.is_replica());
         run_for(role_, seconds(5), true);
-        CPPUNIT_ASSERT(role_.reads());
+        CPPUNIT_ASSERT(role_.is_replica());
     }
     /// Guards against hosts that all load a snapshot at the same moment.
     void hosts_begin_to_read_at_different_times() {
         std::set<int> begins;
         for (int host = 0; host < 20; ++host) {
-            reading_role role(time_, incarnation_id("host-" + std::to_string(host) + "#1"));
-            role.take(told(reading_part::asker));
+            replica_role role(time_, incarnation_id("host-" + std::to_string(host) + "#1"));
+            role.apply(assignment(reading_part::asker));
             int turns = 0;
-            for (; !role.reads(); ++turns)
+            for (; !role.is_replica(); ++turns)
                 run_for(role, milliseconds(100), true);
             begins.insert(turns);
         }
         CPPUNIT_ASSERT(begins.size() > 10);
     }
     void a_host_whose_readers_dont_answer_reads() {
-        role_.take(told(reading_part::asker));
-        role_.note_unanswered();
+        role_.apply(assignment(reading_part::asker));
+        role_.on_unanswered();
         run_for(role_, seconds(1), false);
-        role_.note_answered();
+        role_.on_answered();
         run_for(role_, seconds(10), false);
-        CPPUNIT_ASSERT(!role_.reads());
-        role_.note_unanswered();
+        CPPUNIT_ASSERT(!role_.is_replica());
+        role_.on_unanswered();
         run_for(role_, seconds(6), false);
-        CPPUNIT_ASSERT(role_.reads());
+        CPPUNIT_ASSERT(role_.is_replica());
         // The coordinator may reach the replicas and not know that this host can't, so its
         // assignment is ignored for a time.
-        role_.take(told(reading_part::asker));
-        CPPUNIT_ASSERT(role_.reads());
+        role_.apply(assignment(reading_part::asker));
+        CPPUNIT_ASSERT(role_.is_replica());
         run_for(role_, seconds(10), false);
-        role_.take(told(reading_part::asker));
-        CPPUNIT_ASSERT(!role_.reads());
+        role_.apply(assignment(reading_part::asker));
+        CPPUNIT_ASSERT(!role_.is_replica());
     }
     /// Guards against hosts that load a replica after a restart of the whole cell and are then
     /// assigned to drop it.
     void a_host_that_a_coordinator_is_about_to_tell_waits() {
-        CPPUNIT_ASSERT(!role_.awaits_word());
-        role_.take(told(reading_part::undecided));
-        CPPUNIT_ASSERT(role_.awaits_word());
+        CPPUNIT_ASSERT(!role_.awaits_assignment());
+        role_.apply(assignment(reading_part::undecided));
+        CPPUNIT_ASSERT(role_.awaits_assignment());
         run_for(role_, seconds(3), false);
-        CPPUNIT_ASSERT(!role_.awaits_word());
+        CPPUNIT_ASSERT(!role_.awaits_assignment());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(reading_role_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(replica_role_test);
 
 } // namespace
 } // namespace figwinch
--- a/tests/cell_host/shared_writer_test.cpp
+++ b/tests/cell_host/shared_writer_test.cpp
@@ -1,4 +1,4 @@
-#include "cell_host/bus_writer.h"
+#include "cell_host/bus_shared_writer.h"
 #include "cell_host/handover_codec.h"
 #include "cell_host/handover_server.h"
 #include "tests/cell_host/sim_intake.h"
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr duration patience = milliseconds(2700);
+constexpr duration caller_timeout = milliseconds(2700);
 constexpr std::size_t hosts = 40;
 
 /// Tests handovers to the shared writer in a cell whose log is slow.
@@ -36,8 +36,8 @@
     sim::sim_time time_;
     sim::sim_store store_;
     std::vector<std::unique_ptr<sim::intake_host>> hosts_;
-    std::vector<std::unique_ptr<sim::sim_bus_writer>> ways_;
-    std::vector<std::shared_ptr<sim::told>> told_;
+    std::vector<std::unique_ptr<sim::sim_bus_writer>> writers_;
+    std::vector<std::shared_ptr<sim::submission_result>> results_;
     int jobs_ = 0;
 
     /// Starts `count` hosts; the first one is the shared writer.
@@ -45,14 +45,14 @@
         for (std::size_t i = 0; i < count; ++i)
             hosts_.push_back(std::make_unique<sim::intake_host>(time_, store_));
         for (std::size_t i = 1; i < count; ++i) {
-            ways_.push_back(std::make_unique<sim::sim_bus_writer>(time_, *hosts_.front()));
-            hosts_[i]->writer.hand_to(ways_.back().get());
+            writers_.push_back(std::make_unique<sim::sim_bus_writer>(time_, *hosts_.front()));
+            hosts_[i]->writer.set_shared_writer(writers_.back().get());
         }
         store_.service[cell_stream::intake] = milliseconds(2);
     }
-    std::shared_ptr<sim::told> submit(std::size_t host) {
-        told_.push_back(hosts_[host]->submit(std::to_string(jobs_++), patience));
-        return told_.back();
+    std::shared_ptr<sim::submission_result> submit(std::size_t host) {
+        results_.push_back(hosts_[host]->submit(std::to_string(jobs_++), caller_timeout));
+        return results_.back();
     }
     /// Submits a job at each host in turn, 10 ms apart: with 40 hosts, every 400 ms at each.
     void load_for(duration span) {
@@ -65,7 +65,7 @@
     }
     std::size_t count(intake_outcome outcome) const {
         std::size_t sum = 0;
-        for (const auto& answer : told_)
+        for (const auto& answer : results_)
             sum += answer->outcome == outcome ? 1 : 0;
         return sum;
     }
@@ -80,9 +80,9 @@
         load_for(seconds(5));
         time_.run_for(seconds(4));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, count(intake_outcome::unknown));
-        CPPUNIT_ASSERT_EQUAL(told_.size(),
+        CPPUNIT_ASSERT_EQUAL(results_.size(),
                              count(intake_outcome::stored) + count(intake_outcome::not_stored));
-        CPPUNIT_ASSERT(count(intake_outcome::not_stored) * 20 < told_.size());
+        CPPUNIT_ASSERT(count(intake_outcome::not_stored) * 20 < results_.size());
         CPPUNIT_ASSERT_EQUAL(count(intake_outcome::stored),
                              store_.of(cell_stream::intake).newest.size());
     }
@@ -95,11 +95,11 @@
         store_.service[cell_stream::intake] = milliseconds(2);
         load_for(seconds(1));
         for (const auto& host : hosts_)
-            CPPUNIT_ASSERT(!host->writer.pace().is_slow());
-        told_.clear();
+            CPPUNIT_ASSERT(!host->writer.append_latency().is_slow());
+        results_.clear();
         load_for(seconds(1));
         time_.run_for(milliseconds(100));
-        CPPUNIT_ASSERT_EQUAL(told_.size(), count(intake_outcome::stored));
+        CPPUNIT_ASSERT_EQUAL(results_.size(), count(intake_outcome::stored));
     }
     /// Guards against hosts that detect a slow log only by an append of their own: the first append
     /// of each host would fill the log's queue ahead of the shared writer's.
@@ -108,7 +108,7 @@
         load_for(seconds(1));
         const std::size_t appends = hosts_[1]->log.appends;
         store_.service[cell_stream::intake] = milliseconds(100);
-        hosts_[1]->writer.note_late_read(milliseconds(250));
+        hosts_[1]->writer.report_late_read(milliseconds(250));
         const auto answer = submit(1);
         time_.run_for(seconds(1));
         CPPUNIT_ASSERT(answer->outcome == intake_outcome::stored);
@@ -123,7 +123,7 @@
         store_.service[cell_stream::intake] = milliseconds(100);
         submit(0);
         time_.run_for(milliseconds(1650));
-        CPPUNIT_ASSERT(hosts_[0]->writer.pace().is_slow());
+        CPPUNIT_ASSERT(hosts_[0]->writer.append_latency().is_slow());
         submit(0);
         time_.run_for(milliseconds(15));
         std::optional<intake_outcome> outcome;
@@ -139,10 +139,10 @@
         load_for(seconds(1));
         store_.service[cell_stream::intake] = milliseconds(100);
         load_for(seconds(1));
-        told_.clear();
+        results_.clear();
         const auto answer = submit(1);
         time_.run_for(milliseconds(50));
-        hosts_.front()->dead = true;
+        hosts_.front()->killed = true;
         hosts_.front()->log.kill();
         time_.run_for(seconds(3));
         CPPUNIT_ASSERT(answer->outcome == intake_outcome::stored);
@@ -152,8 +152,8 @@
     void a_host_that_doesnt_write_leaves_records_to_their_own_host() {
         class refusing final : public shared_writer {
         public:
-            bool is_open() const override { return true; }
-            void hand(const std::vector<stored_record>&, duration, handler done) override {
+            bool is_available() const override { return true; }
+            void hand_over(const std::vector<stored_record>&, duration, handler done) override {
                 ++asked;
                 done({handover_result::kind::not_taken, 0, {}});
             }
@@ -161,7 +161,7 @@
         };
         refusing other;
         start(1);
-        hosts_.front()->writer.hand_to(&other);
+        hosts_.front()->writer.set_shared_writer(&other);
         store_.service[cell_stream::intake] = milliseconds(500);
         submit(0);
         time_.run_for(milliseconds(450));
@@ -175,7 +175,7 @@
     void a_request_that_was_lost_is_made_good_by_the_writer() {
         start(2);
         load_for(seconds(1));
-        told_.clear();
+        results_.clear();
         hosts_[1]->log.stuck = cell_stream::intake;
         const instant begun = time_.now();
         const auto answer = submit(1);
@@ -188,7 +188,7 @@
         const auto read = decode_handover(
             encode_handover({seconds(2), {{"ja", std::string("\0x", 2), 0}, {"jb", {}, 0}}}));
         CPPUNIT_ASSERT(read.has_value());
-        CPPUNIT_ASSERT(read->patience == seconds(2));
+        CPPUNIT_ASSERT(read->timeout == seconds(2));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, read->records.size());
         CPPUNIT_ASSERT(read->records[0].value == std::string("\0x", 2));
         CPPUNIT_ASSERT(!read->records[1].value.has_value());
@@ -196,7 +196,7 @@
             encode_handover_result({handover_result::kind::not_stored, 7, milliseconds(100)}));
         CPPUNIT_ASSERT(result.outcome == handover_result::kind::not_stored);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7}, result.offset);
-        CPPUNIT_ASSERT(result.append == milliseconds(100));
+        CPPUNIT_ASSERT(result.writer_latency == milliseconds(100));
         CPPUNIT_ASSERT(decode_handover_result("?").outcome == handover_result::kind::unknown);
     }
 
@@ -216,11 +216,11 @@
         CPPUNIT_ASSERT(server.ok() && asker.ok());
         (*server)->on_request(serve);
         const std::string where = "127.0.0.1:" + std::to_string((*server)->port());
-        bus_writer writer(time, **asker, [&] { return std::optional(where); });
+        bus_shared_writer writer(time, **asker, [&] { return std::optional(where); });
         const auto ticking = loop.every(milliseconds(10), [&] { writer.tick(); });
         handed_over ended;
-        writer.hand({{"ja", "what it is", 0}}, wait, [&](const handover_result& result) {
-            ended = {result, writer.is_open()};
+        writer.hand_over({{"ja", "what it is", 0}}, wait, [&](const handover_result& result) {
+            ended = {result, writer.is_available()};
             loop.stop();
         });
         loop.run();
@@ -246,7 +246,7 @@
         const handed_over ended = hand_over(
             [](const bus_sender&, std::string_view body, const auto& reply) {
                 if (decode_handover(body)->records.empty())
-                    reply(encode_presence());
+                    reply(encode_probe_reply());
             },
             milliseconds(400));
         CPPUNIT_ASSERT(ended.result.outcome == handover_result::kind::unknown);
--- a/tests/cell_host/sim_intake.h
+++ b/tests/cell_host/sim_intake.h
@@ -12,7 +12,7 @@
 namespace figwinch::sim {
 
 /// The outcome that a caller got, and when.
-struct told {
+struct submission_result {
     std::optional<intake_outcome> outcome;
     instant at{};
 };
@@ -24,7 +24,7 @@
     intake_host(sim_time& time, sim_store& store, double random = 1)
         : time_(time), log(time, store, [random] { return random; }),
           follower_(time.clock(), log, cell_stream::intake, {{}, std::chrono::seconds(1)},
-                    [this](const stored_record& record) { writer.note_read(record); }),
+                    [this](const stored_record& record) { writer.on_record_read(record); }),
           writer({time.clock(), log,
                   [this](const stored_record& record) { follower_.skip(record); },
                   [this] { return log.state == sim_log::way::open; },
@@ -35,10 +35,10 @@
     }
     ~intake_host() { log.kill(); }
 
-    /// Submits a job for a caller with a timeout of `patience`.
-    std::shared_ptr<told> submit(const std::string& job, duration patience) {
-        auto answer = std::make_shared<told>();
-        writer.write({{"j" + job, "what it is", 0}}, time_.now() + patience,
+    /// Submits a job for a caller with the timeout `caller_timeout`.
+    std::shared_ptr<submission_result> submit(const std::string& job, duration caller_timeout) {
+        auto answer = std::make_shared<submission_result>();
+        writer.write({{"j" + job, "what it is", 0}}, time_.now() + caller_timeout,
                      [this, answer](intake_outcome outcome, std::uint64_t) {
                          answer->outcome = outcome;
                          answer->at = time_.now();
@@ -49,7 +49,7 @@
 private:
     void schedule() {
         time_.after(std::chrono::milliseconds(10), [this, weak = std::weak_ptr(alive_)] {
-            if (weak.expired() || dead)
+            if (weak.expired() || killed)
                 return;
             follower_.tick();
             writer.tick();
@@ -61,7 +61,7 @@
 
 public:
     /// Whether the host's process has been killed.
-    bool dead = false;
+    bool killed = false;
     sim_log log;
 
 private:
@@ -80,15 +80,16 @@
 public:
     sim_bus_writer(sim_time& time, intake_host& writer) : time_(time), writer_(writer) {}
 
-    bool is_open() const override { return !given_up_; }
-    void hand(const std::vector<stored_record>& records, duration patience, handler done) override {
+    bool is_available() const override { return !given_up_; }
+    void hand_over(const std::vector<stored_record>& records, duration caller_timeout,
+                   handler done) override {
         const auto answer = once(std::move(done));
-        time_.after(way, [this, records, patience, answer] {
-            if (!writer_.dead)
-                take(records, patience, answer);
+        time_.after(latency, [this, records, caller_timeout, answer] {
+            if (!writer_.killed)
+                take(records, caller_timeout, answer);
         });
         time_.after(std::chrono::seconds(1), [this, answer] {
-            if (!writer_.dead)
+            if (!writer_.killed)
                 return;
             given_up_ = true;
             answer({});
@@ -96,7 +97,7 @@
     }
 
 private:
-    static constexpr duration way = std::chrono::milliseconds(2);
+    static constexpr duration latency = std::chrono::milliseconds(2);
 
     static handler once(handler done) {
         return [left = std::make_shared<handler>(std::move(done))](const handover_result& result) {
@@ -104,18 +105,20 @@
                 call(result);
         };
     }
-    void take(const std::vector<stored_record>& records, duration patience, const handler& answer) {
+    void take(const std::vector<stored_record>& records, duration caller_timeout,
+              const handler& answer) {
         writer_.writer.write_for_other(
-            records, time_.now() + patience, [this, answer](intake_outcome outcome, auto offset) {
+            records, time_.now() + caller_timeout,
+            [this, answer](intake_outcome outcome, auto offset) {
                 handover_result result;
                 result.offset = offset;
-                result.append = writer_.writer.pace().latest();
+                result.writer_latency = writer_.writer.append_latency().latest();
                 if (outcome == intake_outcome::stored)
                     result.outcome = handover_result::kind::stored;
                 if (outcome == intake_outcome::not_stored)
                     result.outcome = handover_result::kind::not_stored;
-                if (!writer_.dead)
-                    time_.after(way, [answer, result] { answer(result); });
+                if (!writer_.killed)
+                    time_.after(latency, [answer, result] { answer(result); });
             });
     }
 
--- a/tests/cell_host/worker_list_test.cpp
+++ b/tests/cell_host/worker_list_test.cpp
@@ -48,14 +48,14 @@
     counting_platform platform_{loop_};
     worker_list list_{platform_};
 
-    void write(const std::string& id, const std::string& entry) { list_.take({id, entry, 0}); }
-    void drop(const std::string& id) { list_.take({id, std::nullopt, 0}); }
+    void write(const std::string& id, const std::string& entry) { list_.apply({id, entry, 0}); }
+    void drop(const std::string& id) { list_.apply({id, std::nullopt, 0}); }
 
 public:
     void setUp() override {
         write("w1", "ready 1");
         write("w2", "ready 1");
-        CPPUNIT_ASSERT(list_.take_changed());
+        CPPUNIT_ASSERT(list_.poll_changed());
         platform_.decoded = 0;
     }
     /// Guards against a coordinator that spends its CPU time on entries without changes.
@@ -63,8 +63,8 @@
         for (int sequence = 2; sequence < 10; ++sequence)
             write("w1", "ready " + std::to_string(sequence));
         CPPUNIT_ASSERT_EQUAL(0, platform_.decoded);
-        CPPUNIT_ASSERT(!list_.take_changed());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, list_.rows().size());
+        CPPUNIT_ASSERT(!list_.poll_changed());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, list_.listings().size());
     }
     /// Guards against a placement round after each read of the stream, on platforms without
     /// digests.
@@ -72,37 +72,37 @@
         platform_.tells_digests = false;
         write("w1", "ready 2");
         CPPUNIT_ASSERT_EQUAL(1, platform_.decoded);
-        CPPUNIT_ASSERT(!list_.take_changed());
+        CPPUNIT_ASSERT(!list_.poll_changed());
     }
     /// Guards against starting tasks on a worker because its notice of leaving was skipped as
     /// unchanged.
     void a_notice_changes_the_list() {
         write("w1", "leaving 2");
-        CPPUNIT_ASSERT(list_.take_changed());
-        CPPUNIT_ASSERT(list_.rows().front().leaving);
+        CPPUNIT_ASSERT(list_.poll_changed());
+        CPPUNIT_ASSERT(list_.listings().front().leaving);
         write("w1", "ready 3");
-        CPPUNIT_ASSERT(list_.take_changed());
-        CPPUNIT_ASSERT(!list_.rows().front().leaving);
+        CPPUNIT_ASSERT(list_.poll_changed());
+        CPPUNIT_ASSERT(!list_.listings().front().leaving);
     }
     /// Guards against starting tasks on a worker whose current entry can't be decoded.
     void an_entry_that_cant_be_read_names_no_worker() {
         write("w1", "unreadable 2");
-        CPPUNIT_ASSERT(list_.take_changed());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, list_.rows().size());
+        CPPUNIT_ASSERT(list_.poll_changed());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, list_.listings().size());
         write("w1", "ready 3");
-        CPPUNIT_ASSERT(list_.take_changed());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, list_.rows().size());
+        CPPUNIT_ASSERT(list_.poll_changed());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, list_.listings().size());
     }
     /// Guards against a worker that is missing from the list after it was deleted and came back
     /// with the same entry.
     void a_worker_that_comes_back_is_listed() {
         drop("w1");
-        CPPUNIT_ASSERT(list_.take_changed());
+        CPPUNIT_ASSERT(list_.poll_changed());
         drop("w1");
-        CPPUNIT_ASSERT(!list_.take_changed());
+        CPPUNIT_ASSERT(!list_.poll_changed());
         write("w1", "ready 1");
-        CPPUNIT_ASSERT(list_.take_changed());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, list_.rows().size());
+        CPPUNIT_ASSERT(list_.poll_changed());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, list_.listings().size());
     }
 };
 
