--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -14,7 +14,8 @@
 namespace figwinch::platform {
 namespace {
 
-/// Bytes from outside: what is read of them, and that nothing malformed gets further.
+/// Encoding and decoding of everything that is exchanged with the platform, and rejection of
+/// malformed input.
 class codec_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(codec_test);
     CPPUNIT_TEST(a_submission_is_read);
@@ -127,8 +128,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1'700'000'000'000}, read->born_ms);
         CPPUNIT_ASSERT(!read->leaving);
     }
-    /// Story: another writer has left bytes in the list of workers. They must name no worker to use
-    /// and must not keep the others from being used.
+    /// Guards against malformed entries in the list of workers, left there by another writer, being
+    /// taken for usable workers.
     void entries_of_other_writers_name_no_worker() {
         for (const char* const bytes :
              {"", "{}", "null", R"({"service":"s","address":"10.9.8.7:80","state":"ready"})",
@@ -153,8 +154,9 @@
             CPPUNIT_ASSERT(same !=
                            changed(R"("sequence":3)", R"("sequence":)" + std::string(number)));
     }
-    /// Guards against an entry that is passed over because it was taken for one that was read
-    /// before: entries are damaged at random, and sometimes only in their sequence.
+    /// Guards against a changed entry being skipped because its digest equals that of an entry
+    /// which decodes differently. Entries are corrupted at random; half of them only around
+    /// `sequence`.
     void entries_of_equal_digests_are_read_alike() {
         std::mt19937 random(11);
         const std::string_view bytes = R"("{}[]:,\ 0123456789sequencready)";
--- a/tests/platform/send_window_test.cpp
+++ b/tests/platform/send_window_test.cpp
@@ -38,14 +38,15 @@
     void assert_sent(const numbers& expected) { CPPUNIT_ASSERT(sent_ == expected); }
 
 public:
-    /// Guards against orders that are held up though the link is free.
+    /// Guards against calls that are delayed although the window has room.
     void what_there_is_room_for_is_sent_at_once() {
         send_window window(loop_, fixed(10, hours(1)));
         submit(window, 6);
         submit(window, 4);
         assert_sent({1, 2});
     }
-    /// Guards against an order that others pass until its time is over.
+    /// Guards against starvation of a large call: smaller calls that would fit must not overtake it
+    /// until its deadline has passed.
     void what_waits_is_sent_in_order() {
         send_window window(loop_, fixed(10, hours(1)));
         for (const std::size_t size : {8U, 7U, 1U})
@@ -54,7 +55,7 @@
         window.ended(1, true);
         assert_sent({1, 2, 3});
     }
-    /// Guards against an order that is never sent.
+    /// Guards against a call that is never sent because it is larger than the window.
     void a_call_larger_than_the_window_is_sent_alone() {
         send_window window(loop_, fixed(10, hours(1)));
         submit(window, 11);
@@ -63,8 +64,8 @@
         window.ended(1, false);
         assert_sent({1, 2});
     }
-    /// Guards against a coordinator that hears of no worker while those that it asked first are
-    /// cut off.
+    /// Guards against a coordinator that gets no reports because the workers that it asked first
+    /// are cut off and their calls fill the window.
     void silent_peers_dont_hold_up_the_others() {
         send_window window(loop_, fixed(2, milliseconds(10)));
         submit(window, 1);
@@ -77,7 +78,8 @@
         loop_.run();
         assert_sent({1, 2, 3});
     }
-    /// Guards against the same while most workers answer: the others' places add up.
+    /// Guards against calls to unresponsive workers that gradually fill the window while most other
+    /// workers answer.
     void a_call_that_others_overtook_makes_room() {
         send_window window(loop_, fixed(2, hours(1)));
         for (int call = 0; call < 5; ++call)
@@ -86,12 +88,13 @@
         assert_sent({1, 2, 3});
         window.ended(3, true);
         assert_sent({1, 2, 3, 4, 5});
-        // It no longer counts: its end makes no more room.
+        // Call 1 no longer counts as in flight, so its end makes no more room.
         submit(window, 1);
         window.ended(1, false);
         assert_sent({1, 2, 3, 4, 5});
     }
-    /// Guards against a queue that stands still behind an order that was no longer wanted.
+    /// Guards against a queue that stalls after a call which ends within its own `send`, as an
+    /// order does that is no longer wanted.
     void a_call_that_ends_while_it_is_sent_makes_room() {
         send_window window(loop_, fixed(1, hours(1)));
         submit(window, 1);
@@ -100,7 +103,7 @@
         window.ended(1, true);
         assert_sent({1, 3});
     }
-    /// Guards against a fast link that carries no more than the slowest one would.
+    /// Guards against a window that stays at its lower bound on a fast link.
     void swift_answers_let_a_full_window_grow() {
         send_window window(loop_, {4, 64, hours(1), hours(1), hours(1)});
         for (int call = 0; call < 100; ++call)
@@ -109,7 +112,8 @@
             window.ended(call, true);
         CPPUNIT_ASSERT_EQUAL(std::size_t{64}, window.most());
     }
-    /// Guards against a window that has grown beyond what the link was ever seen to carry.
+    /// Guards against a window that grows while it is hardly used, beyond what the link has been
+    /// seen to carry.
     void an_idle_window_stays_as_it_is() {
         send_window window(loop_, {4, 64, hours(1), hours(1), hours(1)});
         for (send_window::call_number call = 1; call <= 100; ++call) {
@@ -118,8 +122,8 @@
         }
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, window.most());
     }
-    /// Guards against a link that is given more than it carries in time, and against one that is
-    /// left idle for one slow moment.
+    /// Guards against a window that doesn't shrink on an overloaded link, and against one that
+    /// halves for each of several slow answers to calls that were in flight together.
     void slow_answers_halve_it_once_a_round() {
         send_window window(loop_, {4, 64, hours(1), milliseconds(20), milliseconds(40)});
         for (int call = 0; call < 16; ++call)
--- a/tests/platform/store_log_test.cpp
+++ b/tests/platform/store_log_test.cpp
@@ -18,7 +18,8 @@
 // 10 Mbit/s.
 constexpr std::size_t usual = 1250 * kilobyte;
 
-/// The store's calls over links that are slow, not silent.
+/// Calls to the store over slow links: they must not time out while data still arrives or an append
+/// is queued in the store.
 class store_log_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_log_test);
     CPPUNIT_TEST(a_large_configuration_arrives_beside_two_other_loads);
@@ -32,7 +33,7 @@
     std::unique_ptr<slow_link> link_;
     std::unique_ptr<store_log> log_;
     std::size_t value_bytes_ = 0;
-    /// What an append waits in the log.
+    /// How long the store takes before it answers an append.
     duration queued_{};
     std::unique_ptr<event_handle> queue_;
 
@@ -64,7 +65,7 @@
         answer.body = R"({"offset":0,"end":1})";
         return answer;
     }
-    /// Loads the streams side by side; the faults that their pages came with.
+    /// Loads one page of each stream in parallel; returns the fault of each load.
     std::vector<log_fault> load(const std::vector<cell_stream>& streams) {
         std::vector<log_fault> faults;
         for (const cell_stream stream : streams) {
@@ -92,26 +93,27 @@
     }
 
 public:
-    /// Guards against a host that never gets its configuration after a loss of all: 400 KB beside
-    /// the pages of two other streams take over a second of a link of 10 Mbit/s.
+    /// Guards against a host that never loads its configuration when all hosts restart at once: a
+    /// 400 KB page takes over a second on a 10 Mbit/s link that also carries the pages of two other
+    /// streams.
     void a_large_configuration_arrives_beside_two_other_loads() {
         start(400 * kilobyte, usual);
         assert_none(load({cell_stream::operators, cell_stream::progress, cell_stream::intake}));
     }
-    /// Guards against a host on a narrow link that asks for the same page for ever: the largest
-    /// page, 1 MB, takes 8 s of a link of 1 Mbit/s.
+    /// Guards against a host on a slow link that times out on the same page for ever: the largest
+    /// page, 1 MB, takes 8 s on a 1 Mbit/s link.
     void a_whole_page_arrives_over_a_narrow_link() {
         start(600 * kilobyte, narrow);
         assert_none(load({cell_stream::intake}));
     }
-    /// Guards against an append that is given up while it is still being sent, and then sent again.
+    /// Guards against an append that times out and is retried while its body is still being sent.
     void an_append_of_many_records_gets_its_answer_over_a_narrow_link() {
         start(0, narrow);
         const std::vector<stored_record> records(40, {"k", std::string(4 * kilobyte, 'v'), 0});
         CPPUNIT_ASSERT(append(records) == log_fault::none);
     }
-    /// Guards against a job that is given up, and appended again, while it waits in the log behind
-    /// those of other hosts.
+    /// Guards against an append of a job that times out and is retried while it is queued in the
+    /// store behind the appends of other hosts.
     void an_append_that_waits_in_the_log_gets_its_answer() {
         queued_ = std::chrono::milliseconds(800);
         start(0, usual);
--- a/tests/platform/worker_calls_test.cpp
+++ b/tests/platform/worker_calls_test.cpp
@@ -10,8 +10,9 @@
 namespace figwinch::platform {
 namespace {
 
-/// Orders to many workers at once over a host's link: a fifth of 490 workers over a fifth of
-/// 10 Mbit/s, in equal parts, since a listening socket of a test takes few connections at a time.
+/// Orders to many workers at once over a host's network link. Stands for 490 workers on a 10 Mbit/s
+/// link, scaled down to a fifth. The rate is split evenly among several simulated links, because
+/// one listening socket takes few connections at a time.
 class worker_calls_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(worker_calls_test);
     CPPUNIT_TEST(a_new_coordinator_hears_of_all_workers_over_a_slow_link);
@@ -26,7 +27,7 @@
     static constexpr std::size_t parts = 14;
     static constexpr std::size_t bytes_per_s = 250'000;
     static constexpr std::size_t fast_bytes_per_s = 25'000'000;
-    /// Stops or paces for a worker, fewer than its room for tasks.
+    /// Stop or pace orders per worker; fewer than the tasks that a worker has room for.
     static constexpr std::size_t small_orders = 8;
     static constexpr const char* task = "5c0e7a21d94b36f8.0.1.13";
 
@@ -65,12 +66,12 @@
         worker.address = endpoint{"127.0.0.1", links_[index % parts]->port()};
         return worker;
     }
-    /// Calls every worker in the same moment; how many calls were done.
+    /// Calls every worker at once; returns how many calls ended as `done`.
     template <class Call>
     std::size_t call_all(const Call& call) {
         return call_all_often(1, call);
     }
-    /// The same, each worker so many times.
+    /// Like `call_all`, with `times` calls to each worker.
     template <class Call>
     std::size_t call_all_often(std::size_t times, const Call& call) {
         std::size_t ended = 0;
@@ -101,8 +102,9 @@
     }
 
 public:
-    /// Guards against a coordinator that asks all workers for their reports, gives all of them up
-    /// while they arrive and asks for the same again: 24 ends and 10 runs are 2 KB.
+    /// Guards against a new coordinator that requests the reports of all workers at once, times out
+    /// while they arrive, and requests them again. Each report is 2 KB: 24 ended and 10 running
+    /// runs.
     void a_new_coordinator_hears_of_all_workers_over_a_slow_link() {
         start(24, 10);
         const std::size_t done = call_all([this](const worker_listing& where, const auto& end) {
@@ -111,8 +113,8 @@
         });
         CPPUNIT_ASSERT_EQUAL(workers, done);
     }
-    /// Guards against starts that are given up, stopped and ordered again because there were too
-    /// many of them for the link: one for each worker, with 2.4 KB of the 4 KB that it may carry.
+    /// Guards against starts that time out, are stopped and are ordered again because the burst was
+    /// too large for the link: one start per worker with a payload of 2.4 KB; 4 KB is the maximum.
     void a_burst_of_starts_is_answered_over_a_slow_link() {
         start(0, 0);
         start_order order;
@@ -123,12 +125,14 @@
         });
         CPPUNIT_ASSERT_EQUAL(workers, done);
     }
-    /// Guards against the same of stops: jobs of many tasks are cancelled together.
+    /// Guards against stops that time out because the burst was too large for the link, as when
+    /// jobs of many tasks are cancelled together.
     void a_burst_of_stops_is_answered_over_a_slow_link() {
         start(0, 0);
         CPPUNIT_ASSERT_EQUAL(small_orders * workers, call_all_often(small_orders, stop_order()));
     }
-    /// Guards against the same of paces: all filling tasks beside serving ones change together.
+    /// Guards against pace orders that time out because the burst was too large for the link, as
+    /// when all best-effort tasks that share workers with service tasks are throttled together.
     void a_burst_of_paces_is_answered_over_a_slow_link() {
         start(0, 0);
         const auto pace = [this](const worker_listing& where, const auto& end) {
@@ -137,7 +141,8 @@
         };
         CPPUNIT_ASSERT_EQUAL(small_orders * workers, call_all_often(small_orders, pace));
     }
-    /// Guards against bounds that hold for each kind of order and not for both together.
+    /// Guards against a window per kind of order: starts and stops together must not exceed the
+    /// link's capacity.
     void bursts_of_starts_and_stops_are_answered_together() {
         start(0, 0);
         std::size_t turn = 0;
@@ -150,7 +155,7 @@
         CPPUNIT_ASSERT_EQUAL((1 + small_orders) * workers,
                              call_all_often(1 + small_orders, either));
     }
-    /// Guards against a bound that has grown on a fast link and is kept when the link is slow.
+    /// Guards against a window that grew on a fast link and stays as large once the link is slow.
     void a_later_burst_is_answered_over_a_link_that_became_slow() {
         start(0, 0);
         for (const auto& link : links_)
--- a/tests/platform/worker_reports_test.cpp
+++ b/tests/platform/worker_reports_test.cpp
@@ -9,7 +9,7 @@
 namespace figwinch::platform {
 namespace {
 
-/// Reports that many workers are asked for at once, over a link that carries one after the other.
+/// Report requests to many workers at once, over a link that carries one report at a time.
 class worker_reports_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(worker_reports_test);
     CPPUNIT_TEST(a_report_isnt_given_up_while_those_asked_before_it_arrive);
@@ -17,19 +17,19 @@
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t workers = 98;
-    // 2 KB over 2 Mbit/s.
+    // Transfer time of a 2 KB report on a 2 Mbit/s link.
     static constexpr duration report_time = std::chrono::milliseconds(8);
 
     event_loop loop_;
     std::unique_ptr<http_server> server_;
     std::deque<std::shared_ptr<http_responder>> asked_;
-    /// Answered never, so that their connections stay open.
+    /// Requests that never get an answer; kept so that their connections stay open.
     std::vector<std::shared_ptr<http_responder>> silent_;
     std::unique_ptr<event_handle> passing_;
     std::size_t asked_before_ = 0;
     worker_calls calls_{loop_};
 
-    /// One of `silent_every` workers doesn't answer; 0: all do.
+    /// Every `silent_every`-th request gets no answer; with 0, all are answered.
     void start(std::size_t silent_every) {
         auto listening = http_server::listen(
             loop_, "127.0.0.1", 0, {},
@@ -52,7 +52,7 @@
         asked_.front()->respond(std::move(answer));
         asked_.pop_front();
     }
-    /// Asks all workers in the same moment; how many reports came.
+    /// Requests reports from all workers at once; returns how many arrived.
     std::size_t ask_all() {
         std::size_t ended = 0;
         std::size_t heard = 0;
@@ -71,13 +71,13 @@
     }
 
 public:
-    /// Guards against reports that are given up because of others before them on the link.
+    /// Guards against report requests that time out while earlier reports occupy the link.
     void a_report_isnt_given_up_while_those_asked_before_it_arrive() {
         start(0);
         CPPUNIT_ASSERT_EQUAL(workers, ask_all());
     }
-    /// Guards against a new coordinator that can't ask the workers that answer, because of others
-    /// that were cut off.
+    /// Guards against a new coordinator that gets no reports from responsive workers, because its
+    /// requests to workers that are cut off fill the window.
     void workers_that_are_silent_keep_no_others_from_being_heard() {
         constexpr std::size_t silent_every = 2;
         start(silent_every);
--- a/tests/platform/worker_starts_test.cpp
+++ b/tests/platform/worker_starts_test.cpp
@@ -9,7 +9,8 @@
 namespace figwinch::platform {
 namespace {
 
-/// More starts at once than are sent at once.
+/// Start orders: which of them are sent when a burst has to wait for room in the window, and what
+/// is known of those without an answer.
 class worker_starts_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(worker_starts_test);
     CPPUNIT_TEST(a_start_that_is_no_longer_wanted_at_its_turn_isnt_sent);
@@ -23,7 +24,7 @@
     event_loop loop_;
     std::unique_ptr<http_server> server_;
     std::size_t arrived_ = 0;
-    /// Never answered; kept so that their connections stay open.
+    /// Requests that never get an answer; kept so that their connections stay open.
     std::vector<std::shared_ptr<http_responder>> silent_;
     worker_calls calls_{loop_};
 
@@ -41,7 +42,7 @@
         CPPUNIT_ASSERT(listening.ok());
         server_ = std::move(*listening);
     }
-    /// What became of `count` starts that were ordered in the same moment.
+    /// Orders `count` starts at once; returns how many ended with each outcome.
     std::map<order_outcome, std::size_t> order(std::size_t count, bool wanted) {
         start_order order;
         order.task = "5c0e7a21d94b36f8.0.1.13";
@@ -66,7 +67,7 @@
 
     static constexpr std::uint64_t born_ms = 1'750'000'000'000;
 
-    /// A worker that reports, and answers no start.
+    /// Starts a worker that sends reports but never answers a start.
     void start_reporting() {
         auto listening = http_server::listen(
             loop_, "127.0.0.1", 0, {},
@@ -94,7 +95,8 @@
         });
         loop_.run();
     }
-    /// What is known of a start for a life that gets no answer.
+    /// Orders a start for the worker incarnation `born`, which gets no answer; returns what is
+    /// known of it.
     order_answer start_of_life(std::uint64_t born) {
         start_order order;
         order.task = "5c0e7a21d94b36f8.0.1.13";
@@ -110,8 +112,8 @@
     }
 
 public:
-    /// Guards against starts that go out when their time is over, after a worker's notice that it
-    /// leaves, or when another host coordinates.
+    /// Guards against queued starts that are still sent after their deadline, after the worker has
+    /// announced that it leaves, or after another host has become the coordinator.
     void a_start_that_is_no_longer_wanted_at_its_turn_isnt_sent() {
         start(false);
         constexpr std::size_t count = 98;
@@ -121,36 +123,41 @@
         CPPUNIT_ASSERT_EQUAL(arrived_, outcomes[order_outcome::done]);
         CPPUNIT_ASSERT_EQUAL(count, arrived_ + outcomes[order_outcome::not_sent]);
     }
-    /// Guards against a start that ends before the call that ordered it has returned.
+    /// Guards against a start that ends before the call that orders it has returned, because
+    /// `still_wanted` was asked although the start didn't have to wait.
     void a_start_that_is_sent_at_once_isnt_asked_about() {
         start(false);
         auto outcomes = order(1, false);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, outcomes[order_outcome::done]);
     }
-    /// Guards against a task that is started elsewhere while its first start may be carried out.
+    /// Guards against a task that is started on another worker while its unanswered first start may
+    /// still be carried out.
     void a_silent_workers_start_stays_unknown() {
         start(true);
         auto outcomes = order(3, true);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, outcomes[order_outcome::unknown]);
     }
-    /// Guards against a lost worker's task that is waited for as if a later life had its start.
+    /// Guards against a lost worker's task that is needlessly kept waiting, because a later
+    /// incarnation of the worker is wrongly assumed to have received the start.
     void a_start_over_a_connection_of_the_life_that_reported_reaches_no_other() {
         start_reporting();
-        // The second is asked over the connection that the first has opened.
+        // The second report is requested over the connection that the first request opened.
         report();
         report();
         CPPUNIT_ASSERT(!start_of_life(born_ms).may_reach_other_life);
     }
-    /// Guards against a task that runs twice since a later life of its worker got its start.
+    /// Guards against a task that runs twice because a later incarnation of its worker received the
+    /// start.
     void a_start_over_a_new_connection_may_reach_another_life() {
         start_reporting();
         report();
         report();
         start_of_life(born_ms);
-        // That call timed out, and its connection is closed.
+        // The first start timed out, so its connection was closed and the second opens a new one.
         CPPUNIT_ASSERT(start_of_life(born_ms).may_reach_other_life);
     }
-    /// Guards against the same where the coordinator hasn't heard of the later life.
+    /// Guards against a task that runs twice because a coordinator that doesn't know of the
+    /// worker's later incarnation yet orders a start for the earlier one.
     void a_start_for_an_earlier_life_may_reach_another() {
         start_reporting();
         report();
