--- a/bench/cell_worker_list.cpp
+++ b/bench/cell_worker_list.cpp
@@ -47,11 +47,11 @@
             {"i-" + std::to_string(index), entry_of(index, cold_ms, sequence), index});
     constexpr std::size_t head_bytes = 16;
     return std::string(head_bytes, '\0') +
-           platform::encode_records(platform::record_form::keyed, records);
+           platform::encode_records(platform::record_format::keyed, records);
 }
 
 std::vector<stored_record> records_in(const std::string& body) {
-    return platform::decode_read(platform::record_form::keyed, 0, body)->records;
+    return platform::decode_read(platform::record_format::keyed, 0, body)->records;
 }
 
 void take_all(worker_list& list, const std::vector<stored_record>& records) {
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -21,19 +21,19 @@
     CPPUNIT_TEST(a_submission_is_read);
     CPPUNIT_TEST(malformed_submissions_are_refused_by_number);
     CPPUNIT_TEST(job_ids_are_sixteen_hexadecimal_digits);
-    CPPUNIT_TEST(states_are_told_in_the_callers_words);
+    CPPUNIT_TEST(job_states_are_encoded_as_callers_know_them);
     CPPUNIT_TEST(a_configuration_is_read);
     CPPUNIT_TEST(the_longest_prefix_selects_the_queue);
     CPPUNIT_TEST(a_worker_is_read);
     CPPUNIT_TEST(entries_of_other_writers_name_no_worker);
-    CPPUNIT_TEST(only_a_sequence_leaves_an_entry_the_same);
+    CPPUNIT_TEST(only_the_sequence_is_left_out_of_a_digest);
     CPPUNIT_TEST(entries_of_equal_digests_are_read_alike);
     CPPUNIT_TEST(a_report_is_read);
     CPPUNIT_TEST(orders_carry_what_workers_check);
     CPPUNIT_TEST(records_are_read_back);
     CPPUNIT_TEST(records_cut_short_are_refused);
     CPPUNIT_TEST(advice_is_asked_for_and_read);
-    CPPUNIT_TEST(random_bytes_never_pass_for_anything);
+    CPPUNIT_TEST(corrupted_bytes_never_decode_to_an_invalid_job);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr const char* submission =
@@ -84,7 +84,7 @@
         CPPUNIT_ASSERT(!is_job_id("0123456789abcdeg"));
         CPPUNIT_ASSERT(!is_job_id("0123456789abcdef/"));
     }
-    void states_are_told_in_the_callers_words() {
+    void job_states_are_encoded_as_callers_know_them() {
         job_entry job;
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"state":"queued"})"), encode_state(job));
         job.begun = true;
@@ -107,8 +107,8 @@
         CPPUNIT_ASSERT(config->services[0].guards_capacity);
         CPPUNIT_ASSERT(!decode_config(R"({"routes":[],"services":[]})").has_value());
         CPPUNIT_ASSERT(!decode_config(R"({"version":"9","routes":[],"services":[]})").has_value());
-        CPPUNIT_ASSERT(evacuated_by("evacuate/z") == data_centre_id("z"));
-        CPPUNIT_ASSERT(!evacuated_by("config").has_value());
+        CPPUNIT_ASSERT(evacuated_data_centre("evacuate/z") == data_centre_id("z"));
+        CPPUNIT_ASSERT(!evacuated_data_centre("config").has_value());
     }
     void the_longest_prefix_selects_the_queue() {
         const auto config =
@@ -139,7 +139,7 @@
               R"({"service":"s","address":"10.9.8.7:80","state":"ready","capacity":3})"})
             CPPUNIT_ASSERT_MESSAGE(bytes, !decode_listing("w1", bytes).has_value());
     }
-    void only_a_sequence_leaves_an_entry_the_same() {
+    void only_the_sequence_is_left_out_of_a_digest() {
         const auto changed = [](const std::string& from, const std::string& to) {
             std::string entry = worker;
             return listing_digest(entry.replace(entry.find(from), from.size(), to));
@@ -207,8 +207,8 @@
         std::string body(16, '\0');
         body[7] = 43;
         body[15] = 2;
-        body += encode_records(record_form::keyed, records);
-        const auto read = decode_read(record_form::keyed, 40, body);
+        body += encode_records(record_format::keyed, records);
+        const auto read = decode_read(record_format::keyed, 40, body);
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{43}, read->end);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, read->first);
@@ -219,14 +219,14 @@
     }
     void records_cut_short_are_refused() {
         std::string body(16, '\0');
-        body += encode_records(record_form::keyed, {{"key", "value", 0}});
+        body += encode_records(record_format::keyed, {{"key", "value", 0}});
         for (std::size_t size = 0; size < body.size(); ++size)
             CPPUNIT_ASSERT(size == 16 ||
-                           !decode_read(record_form::keyed, 0, body.substr(0, size)).has_value());
+                           !decode_read(record_format::keyed, 0, body.substr(0, size)).has_value());
     }
     void advice_is_asked_for_and_read() {
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"step":"a.0.1","workers":["w1","w2"]})"),
-                             encode_question("a.0.1", {worker_id("w1"), worker_id("w2")}));
+                             encode_advice_request("a.0.1", {worker_id("w1"), worker_id("w2")}));
         const auto read = decode_advice(advice);
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->good.size());
@@ -235,7 +235,7 @@
         CPPUNIT_ASSERT(!decode_advice(R"({"good":7})").has_value());
         CPPUNIT_ASSERT(!decode_advice("[]").has_value());
     }
-    void random_bytes_never_pass_for_anything() {
+    void corrupted_bytes_never_decode_to_an_invalid_job() {
         std::mt19937_64 random(3);
         const std::vector<std::string> good = {submission, worker, report, advice};
         for (int round = 0; round < 30'000; ++round) {
@@ -250,8 +250,8 @@
             decode_report(bytes);
             decode_advice(bytes);
             decode_config(bytes);
-            decode_read(record_form::keyed, 0, bytes);
-            decode_read(record_form::plain, 0, bytes);
+            decode_read(record_format::keyed, 0, bytes);
+            decode_read(record_format::plain, 0, bytes);
         }
     }
 };
--- a/tests/platform/store_log_test.cpp
+++ b/tests/platform/store_log_test.cpp
@@ -14,17 +14,17 @@
 
 constexpr std::size_t kilobyte = 1000;
 // 1 Mbit/s.
-constexpr std::size_t narrow = 125 * kilobyte;
+constexpr std::size_t slow_link_bytes_per_s = 125 * kilobyte;
 // 10 Mbit/s.
-constexpr std::size_t usual = 1250 * kilobyte;
+constexpr std::size_t normal_link_bytes_per_s = 1250 * kilobyte;
 
 /// Calls to the store over slow links: they must not time out while data still arrives or an append
 /// is queued in the store.
 class store_log_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(store_log_test);
     CPPUNIT_TEST(a_large_configuration_arrives_beside_two_other_loads);
-    CPPUNIT_TEST(a_whole_page_arrives_over_a_narrow_link);
-    CPPUNIT_TEST(an_append_of_many_records_gets_its_answer_over_a_narrow_link);
+    CPPUNIT_TEST(the_largest_page_arrives_over_a_slow_link);
+    CPPUNIT_TEST(an_append_of_many_records_gets_its_answer_over_a_slow_link);
     CPPUNIT_TEST(an_append_that_waits_in_the_log_gets_its_answer);
     CPPUNIT_TEST_SUITE_END();
 
@@ -34,8 +34,8 @@
     std::unique_ptr<store_log> log_;
     std::size_t value_bytes_ = 0;
     /// How long the store takes before it answers an append.
-    duration queued_{};
-    std::unique_ptr<event_handle> queue_;
+    duration append_delay_{};
+    std::unique_ptr<event_handle> append_timer_;
 
     void start(std::size_t value_bytes, std::size_t bytes_per_s) {
         value_bytes_ = value_bytes;
@@ -46,7 +46,7 @@
             [this](const http_request& request, const std::shared_ptr<http_responder>& to) {
                 if (request.method == http_method::get)
                     return to->respond(page());
-                queue_ = loop_.after(queued_, [to] { to->respond(stored()); });
+                append_timer_ = loop_.after(append_delay_, [to] { to->respond(stored()); });
             });
         CPPUNIT_ASSERT(listening.ok());
         store_ = std::move(*listening);
@@ -97,26 +97,26 @@
     /// 400 KB page takes over a second on a 10 Mbit/s link that also carries the pages of two other
     /// streams.
     void a_large_configuration_arrives_beside_two_other_loads() {
-        start(400 * kilobyte, usual);
+        start(400 * kilobyte, normal_link_bytes_per_s);
         assert_none(load({cell_stream::operators, cell_stream::progress, cell_stream::intake}));
     }
     /// Guards against a host on a slow link that times out on the same page for ever: the largest
     /// page, 1 MB, takes 8 s on a 1 Mbit/s link.
-    void a_whole_page_arrives_over_a_narrow_link() {
-        start(600 * kilobyte, narrow);
+    void the_largest_page_arrives_over_a_slow_link() {
+        start(600 * kilobyte, slow_link_bytes_per_s);
         assert_none(load({cell_stream::intake}));
     }
     /// Guards against an append that times out and is retried while its body is still being sent.
-    void an_append_of_many_records_gets_its_answer_over_a_narrow_link() {
-        start(0, narrow);
+    void an_append_of_many_records_gets_its_answer_over_a_slow_link() {
+        start(0, slow_link_bytes_per_s);
         const std::vector<stored_record> records(40, {"k", std::string(4 * kilobyte, 'v'), 0});
         CPPUNIT_ASSERT(append(records) == log_fault::none);
     }
     /// Guards against an append of a job that times out and is retried while it is queued in the
     /// store behind the appends of other hosts.
     void an_append_that_waits_in_the_log_gets_its_answer() {
-        queued_ = std::chrono::milliseconds(800);
-        start(0, usual);
+        append_delay_ = std::chrono::milliseconds(800);
+        start(0, normal_link_bytes_per_s);
         CPPUNIT_ASSERT(append({{"k", "v", 0}}) == log_fault::none);
     }
 };
--- a/tests/platform/worker_calls_test.cpp
+++ b/tests/platform/worker_client_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/worker_calls.h"
+#include "platform/worker_client.h"
 
 #include "tests/net/slow_link.h"
 
@@ -13,9 +13,9 @@
 /// Orders to many workers at once over a host's network link. Stands for 490 workers on a 10 Mbit/s
 /// link, scaled down to a fifth. The rate is split evenly among several simulated links, because
 /// one listening socket takes few connections at a time.
-class worker_calls_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(worker_calls_test);
-    CPPUNIT_TEST(a_new_coordinator_hears_of_all_workers_over_a_slow_link);
+class worker_client_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(worker_client_test);
+    CPPUNIT_TEST(a_new_coordinator_gets_all_reports_over_a_slow_link);
     CPPUNIT_TEST(a_burst_of_starts_is_answered_over_a_slow_link);
     CPPUNIT_TEST(a_burst_of_stops_is_answered_over_a_slow_link);
     CPPUNIT_TEST(a_burst_of_paces_is_answered_over_a_slow_link);
@@ -24,17 +24,17 @@
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t workers = 98;
-    static constexpr std::size_t parts = 14;
+    static constexpr std::size_t link_count = 14;
     static constexpr std::size_t bytes_per_s = 250'000;
     static constexpr std::size_t fast_bytes_per_s = 25'000'000;
     /// Stop or pace orders per worker; fewer than the tasks that a worker has room for.
-    static constexpr std::size_t small_orders = 8;
+    static constexpr std::size_t small_orders_per_worker = 8;
     static constexpr const char* task = "5c0e7a21d94b36f8.0.1.13";
 
     event_loop loop_;
     std::unique_ptr<http_server> server_;
     std::vector<std::unique_ptr<slow_link>> links_;
-    worker_calls calls_{loop_};
+    worker_client client_{loop_};
     std::string report_;
 
     void start(std::size_t ended, std::size_t running) {
@@ -56,24 +56,24 @@
             });
         CPPUNIT_ASSERT(listening.ok());
         server_ = std::move(*listening);
-        for (std::size_t part = 0; part < parts; ++part)
+        for (std::size_t part = 0; part < link_count; ++part)
             links_.push_back(
-                std::make_unique<slow_link>(loop_, server_->port(), bytes_per_s / parts));
+                std::make_unique<slow_link>(loop_, server_->port(), bytes_per_s / link_count));
     }
     worker_listing listing(std::size_t index) const {
         worker_listing worker;
         worker.id = worker_id(absl::StrCat("worker-", index));
-        worker.address = endpoint{"127.0.0.1", links_[index % parts]->port()};
+        worker.address = endpoint{"127.0.0.1", links_[index % link_count]->port()};
         return worker;
     }
     /// Calls every worker at once; returns how many calls ended as `done`.
     template <class Call>
     std::size_t call_all(const Call& call) {
-        return call_all_often(1, call);
+        return call_all_repeatedly(1, call);
     }
     /// Like `call_all`, with `times` calls to each worker.
     template <class Call>
-    std::size_t call_all_often(std::size_t times, const Call& call) {
+    std::size_t call_all_repeatedly(std::size_t times, const Call& call) {
         std::size_t ended = 0;
         std::size_t done = 0;
         for (std::size_t index = 0; index < workers * times; ++index) {
@@ -88,8 +88,8 @@
     }
     auto stop_order() {
         return [this](const worker_listing& where, const auto& end) {
-            calls_.stop(where, task, run_number(7), lease_epoch(3),
-                        [end](const order_answer& answer) { end(answer.outcome); });
+            client_.stop(where, task, run_number(7), lease_epoch(3),
+                         [end](const order_answer& answer) { end(answer.outcome); });
         };
     }
     auto start_order_of(std::size_t payload_bytes) {
@@ -97,7 +97,7 @@
             start_order order;
             order.task = task;
             order.payload = std::string(payload_bytes, 's');
-            calls_.start(where, order, [end](const order_answer& answer) { end(answer.outcome); });
+            client_.start(where, order, [end](const order_answer& answer) { end(answer.outcome); });
         };
     }
 
@@ -105,11 +105,11 @@
     /// Guards against a new coordinator that requests the reports of all workers at once, times out
     /// while they arrive, and requests them again. Each report is 2 KB: 24 ended and 10 running
     /// runs.
-    void a_new_coordinator_hears_of_all_workers_over_a_slow_link() {
+    void a_new_coordinator_gets_all_reports_over_a_slow_link() {
         start(24, 10);
         const std::size_t done = call_all([this](const worker_listing& where, const auto& end) {
-            calls_.hold(where, {},
-                        [end](order_outcome outcome, const worker_report&) { end(outcome); });
+            client_.hold(where, {},
+                         [end](order_outcome outcome, const worker_report&) { end(outcome); });
         });
         CPPUNIT_ASSERT_EQUAL(workers, done);
     }
@@ -121,7 +121,7 @@
         order.task = "5c0e7a21d94b36f8.0.1.13";
         order.payload = std::string(2400, 's');
         const std::size_t done = call_all([&](const worker_listing& where, const auto& end) {
-            calls_.start(where, order, [end](const order_answer& answer) { end(answer.outcome); });
+            client_.start(where, order, [end](const order_answer& answer) { end(answer.outcome); });
         });
         CPPUNIT_ASSERT_EQUAL(workers, done);
     }
@@ -129,17 +129,19 @@
     /// jobs of many tasks are cancelled together.
     void a_burst_of_stops_is_answered_over_a_slow_link() {
         start(0, 0);
-        CPPUNIT_ASSERT_EQUAL(small_orders * workers, call_all_often(small_orders, stop_order()));
+        CPPUNIT_ASSERT_EQUAL(small_orders_per_worker * workers,
+                             call_all_repeatedly(small_orders_per_worker, stop_order()));
     }
     /// Guards against pace orders that time out because the burst was too large for the link, as
     /// when all best-effort tasks that share workers with service tasks are throttled together.
     void a_burst_of_paces_is_answered_over_a_slow_link() {
         start(0, 0);
         const auto pace = [this](const worker_listing& where, const auto& end) {
-            calls_.pace(where, {task, run_number(7), 50, lease_epoch(3)},
-                        [end](const order_answer& answer) { end(answer.outcome); });
+            client_.pace(where, {task, run_number(7), 50, lease_epoch(3)},
+                         [end](const order_answer& answer) { end(answer.outcome); });
         };
-        CPPUNIT_ASSERT_EQUAL(small_orders * workers, call_all_often(small_orders, pace));
+        CPPUNIT_ASSERT_EQUAL(small_orders_per_worker * workers,
+                             call_all_repeatedly(small_orders_per_worker, pace));
     }
     /// Guards against a window per kind of order: starts and stops together must not exceed the
     /// link's capacity.
@@ -152,8 +154,8 @@
             else
                 stop_order()(where, end);
         };
-        CPPUNIT_ASSERT_EQUAL((1 + small_orders) * workers,
-                             call_all_often(1 + small_orders, either));
+        CPPUNIT_ASSERT_EQUAL((1 + small_orders_per_worker) * workers,
+                             call_all_repeatedly(1 + small_orders_per_worker, either));
     }
     /// Guards against a window that grew on a fast link and stays as large once the link is slow.
     void a_later_burst_is_answered_over_a_link_that_became_slow() {
@@ -163,12 +165,12 @@
         for (int burst = 0; burst < 6; ++burst)
             CPPUNIT_ASSERT_EQUAL(workers, call_all(start_order_of(2400)));
         for (const auto& link : links_)
-            link->set_rate(bytes_per_s / parts);
+            link->set_rate(bytes_per_s / link_count);
         CPPUNIT_ASSERT_EQUAL(workers, call_all(start_order_of(2400)));
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(worker_calls_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(worker_client_test);
 
 } // namespace
 } // namespace figwinch::platform
--- a/tests/platform/worker_reports_test.cpp
+++ b/tests/platform/worker_reports_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/worker_calls.h"
+#include "platform/worker_client.h"
 
 #include <absl/strings/str_cat.h>
 #include <cppunit/TestFixture.h>
@@ -12,8 +12,8 @@
 /// Report requests to many workers at once, over a link that carries one report at a time.
 class worker_reports_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(worker_reports_test);
-    CPPUNIT_TEST(a_report_isnt_given_up_while_those_asked_before_it_arrive);
-    CPPUNIT_TEST(workers_that_are_silent_keep_no_others_from_being_heard);
+    CPPUNIT_TEST(a_report_request_doesnt_time_out_while_earlier_reports_arrive);
+    CPPUNIT_TEST(unresponsive_workers_dont_delay_reports_of_others);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr std::size_t workers = 98;
@@ -22,66 +22,67 @@
 
     event_loop loop_;
     std::unique_ptr<http_server> server_;
-    std::deque<std::shared_ptr<http_responder>> asked_;
+    std::deque<std::shared_ptr<http_responder>> pending_;
     /// Requests that never get an answer; kept so that their connections stay open.
-    std::vector<std::shared_ptr<http_responder>> silent_;
-    std::unique_ptr<event_handle> passing_;
-    std::size_t asked_before_ = 0;
-    worker_calls calls_{loop_};
+    std::vector<std::shared_ptr<http_responder>> unanswered_;
+    std::unique_ptr<event_handle> answer_timer_;
+    std::size_t request_count_ = 0;
+    worker_client client_{loop_};
 
-    /// Every `silent_every`-th request gets no answer; with 0, all are answered.
-    void start(std::size_t silent_every) {
+    /// Every `unanswered_every`-th request gets no answer; with 0, all are answered.
+    void start(std::size_t unanswered_every) {
         auto listening = http_server::listen(
             loop_, "127.0.0.1", 0, {},
-            [this, silent_every](const http_request&, const std::shared_ptr<http_responder>& to) {
-                const std::size_t index = asked_before_++;
-                if (silent_every != 0 && index % silent_every == 0)
-                    silent_.push_back(to);
+            [this, unanswered_every](const http_request&,
+                                     const std::shared_ptr<http_responder>& to) {
+                const std::size_t index = request_count_++;
+                if (unanswered_every != 0 && index % unanswered_every == 0)
+                    unanswered_.push_back(to);
                 else
-                    asked_.push_back(to);
+                    pending_.push_back(to);
             });
         CPPUNIT_ASSERT(listening.ok());
         server_ = std::move(*listening);
-        passing_ = loop_.every(report_time, [this] { pass_one(); });
+        answer_timer_ = loop_.every(report_time, [this] { answer_one(); });
     }
-    void pass_one() {
-        if (asked_.empty())
+    void answer_one() {
+        if (pending_.empty())
             return;
         http_response answer;
         answer.body = R"({"clockMs":60000,"born":1750000000000,"running":[],"finished":[]})";
-        asked_.front()->respond(std::move(answer));
-        asked_.pop_front();
+        pending_.front()->respond(std::move(answer));
+        pending_.pop_front();
     }
     /// Requests reports from all workers at once; returns how many arrived.
-    std::size_t ask_all() {
+    std::size_t request_all_reports() {
         std::size_t ended = 0;
-        std::size_t heard = 0;
+        std::size_t arrived = 0;
         for (std::size_t index = 0; index < workers; ++index) {
             worker_listing worker;
             worker.id = worker_id(absl::StrCat("worker-", index));
             worker.address = endpoint{"127.0.0.1", server_->port()};
-            calls_.hold(worker, {}, [&](order_outcome outcome, const worker_report&) {
-                heard += outcome == order_outcome::done ? 1 : 0;
+            client_.hold(worker, {}, [&](order_outcome outcome, const worker_report&) {
+                arrived += outcome == order_outcome::done ? 1 : 0;
                 if (++ended == workers)
                     loop_.stop();
             });
         }
         loop_.run();
-        return heard;
+        return arrived;
     }
 
 public:
     /// Guards against report requests that time out while earlier reports occupy the link.
-    void a_report_isnt_given_up_while_those_asked_before_it_arrive() {
+    void a_report_request_doesnt_time_out_while_earlier_reports_arrive() {
         start(0);
-        CPPUNIT_ASSERT_EQUAL(workers, ask_all());
+        CPPUNIT_ASSERT_EQUAL(workers, request_all_reports());
     }
     /// Guards against a new coordinator that gets no reports from responsive workers, because its
     /// requests to workers that are cut off fill the window.
-    void workers_that_are_silent_keep_no_others_from_being_heard() {
-        constexpr std::size_t silent_every = 2;
-        start(silent_every);
-        CPPUNIT_ASSERT_EQUAL(workers / silent_every, ask_all());
+    void unresponsive_workers_dont_delay_reports_of_others() {
+        constexpr std::size_t unanswered_every = 2;
+        start(unanswered_every);
+        CPPUNIT_ASSERT_EQUAL(workers / unanswered_every, request_all_reports());
     }
 };
 
--- a/tests/platform/worker_starts_test.cpp
+++ b/tests/platform/worker_starts_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/worker_calls.h"
+#include "platform/worker_client.h"
 
 #include <absl/strings/str_cat.h>
 #include <cppunit/TestFixture.h>
@@ -13,28 +13,28 @@
 /// is known of those without an answer.
 class worker_starts_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(worker_starts_test);
-    CPPUNIT_TEST(a_start_that_is_no_longer_wanted_at_its_turn_isnt_sent);
-    CPPUNIT_TEST(a_start_that_is_sent_at_once_isnt_asked_about);
-    CPPUNIT_TEST(a_silent_workers_start_stays_unknown);
-    CPPUNIT_TEST(a_start_over_a_connection_of_the_life_that_reported_reaches_no_other);
-    CPPUNIT_TEST(a_start_over_a_new_connection_may_reach_another_life);
-    CPPUNIT_TEST(a_start_for_an_earlier_life_may_reach_another);
+    CPPUNIT_TEST(a_queued_start_that_is_no_longer_wanted_isnt_sent);
+    CPPUNIT_TEST(still_wanted_isnt_asked_for_a_start_that_is_sent_at_once);
+    CPPUNIT_TEST(the_outcome_of_an_unanswered_start_is_unknown);
+    CPPUNIT_TEST(a_start_over_a_connection_of_the_incarnation_that_reported_reaches_no_other);
+    CPPUNIT_TEST(a_start_over_a_new_connection_may_reach_another_incarnation);
+    CPPUNIT_TEST(a_start_for_an_earlier_incarnation_may_reach_another);
     CPPUNIT_TEST_SUITE_END();
 
     event_loop loop_;
     std::unique_ptr<http_server> server_;
     std::size_t arrived_ = 0;
     /// Requests that never get an answer; kept so that their connections stay open.
-    std::vector<std::shared_ptr<http_responder>> silent_;
-    worker_calls calls_{loop_};
+    std::vector<std::shared_ptr<http_responder>> unanswered_;
+    worker_client client_{loop_};
 
-    void start(bool silent) {
+    void start(bool unresponsive) {
         auto listening = http_server::listen(
             loop_, "127.0.0.1", 0, {},
-            [this, silent](const http_request&, const std::shared_ptr<http_responder>& to) {
+            [this, unresponsive](const http_request&, const std::shared_ptr<http_responder>& to) {
                 ++arrived_;
-                if (silent)
-                    return silent_.push_back(to);
+                if (unresponsive)
+                    return unanswered_.push_back(to);
                 http_response answer;
                 answer.body = R"({"clockMs":60000})";
                 to->respond(std::move(answer));
@@ -43,7 +43,7 @@
         server_ = std::move(*listening);
     }
     /// Orders `count` starts at once; returns how many ended with each outcome.
-    std::map<order_outcome, std::size_t> order(std::size_t count, bool wanted) {
+    std::map<order_outcome, std::size_t> order_starts(std::size_t count, bool wanted) {
         start_order order;
         order.task = "5c0e7a21d94b36f8.0.1.13";
         order.payload = std::string(2400, 's');
@@ -54,7 +54,7 @@
             worker_listing worker;
             worker.id = worker_id(absl::StrCat("worker-", index));
             worker.address = endpoint{"127.0.0.1", server_->port()};
-            calls_.start(worker, order, [&, count](const order_answer& answer) {
+            client_.start(worker, order, [&, count](const order_answer& answer) {
                 ++outcomes[answer.outcome];
                 if (++ended == count)
                     loop_.stop();
@@ -73,7 +73,7 @@
             loop_, "127.0.0.1", 0, {},
             [this](const http_request& asked, const std::shared_ptr<http_responder>& to) {
                 if (asked.path != "/figwinch/hold")
-                    return silent_.push_back(to);
+                    return unanswered_.push_back(to);
                 http_response answer;
                 answer.body =
                     R"({"clockMs":60000,"born":1750000000000,"running":[],"finished":[]})";
@@ -89,7 +89,7 @@
         return worker;
     }
     void report() {
-        calls_.hold(reporting_worker(), {}, [this](order_outcome outcome, const worker_report&) {
+        client_.hold(reporting_worker(), {}, [this](order_outcome outcome, const worker_report&) {
             CPPUNIT_ASSERT(outcome == order_outcome::done);
             loop_.stop();
         });
@@ -97,12 +97,12 @@
     }
     /// Orders a start for the worker incarnation `born`, which gets no answer; returns what is
     /// known of it.
-    order_answer start_of_life(std::uint64_t born) {
+    order_answer start_of_incarnation(std::uint64_t born) {
         start_order order;
         order.task = "5c0e7a21d94b36f8.0.1.13";
         order.born_ms = born;
         order_answer got;
-        calls_.start(reporting_worker(), order, [&](const order_answer& answer) {
+        client_.start(reporting_worker(), order, [&](const order_answer& answer) {
             got = answer;
             loop_.stop();
         });
@@ -114,10 +114,10 @@
 public:
     /// Guards against queued starts that are still sent after their deadline, after the worker has
     /// announced that it leaves, or after another host has become the coordinator.
-    void a_start_that_is_no_longer_wanted_at_its_turn_isnt_sent() {
+    void a_queued_start_that_is_no_longer_wanted_isnt_sent() {
         start(false);
         constexpr std::size_t count = 98;
-        auto outcomes = order(count, false);
+        auto outcomes = order_starts(count, false);
         CPPUNIT_ASSERT(outcomes[order_outcome::not_sent] > 0);
         CPPUNIT_ASSERT(outcomes[order_outcome::done] > 0);
         CPPUNIT_ASSERT_EQUAL(arrived_, outcomes[order_outcome::done]);
@@ -125,44 +125,44 @@
     }
     /// Guards against a start that ends before the call that orders it has returned, because
     /// `still_wanted` was asked although the start didn't have to wait.
-    void a_start_that_is_sent_at_once_isnt_asked_about() {
+    void still_wanted_isnt_asked_for_a_start_that_is_sent_at_once() {
         start(false);
-        auto outcomes = order(1, false);
+        auto outcomes = order_starts(1, false);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, outcomes[order_outcome::done]);
     }
     /// Guards against a task that is started on another worker while its unanswered first start may
     /// still be carried out.
-    void a_silent_workers_start_stays_unknown() {
+    void the_outcome_of_an_unanswered_start_is_unknown() {
         start(true);
-        auto outcomes = order(3, true);
+        auto outcomes = order_starts(3, true);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, outcomes[order_outcome::unknown]);
     }
     /// Guards against a lost worker's task that is needlessly kept waiting, because a later
     /// incarnation of the worker is wrongly assumed to have received the start.
-    void a_start_over_a_connection_of_the_life_that_reported_reaches_no_other() {
+    void a_start_over_a_connection_of_the_incarnation_that_reported_reaches_no_other() {
         start_reporting();
         // The second report is requested over the connection that the first request opened.
         report();
         report();
-        CPPUNIT_ASSERT(!start_of_life(born_ms).may_reach_other_life);
+        CPPUNIT_ASSERT(!start_of_incarnation(born_ms).may_reach_other_life);
     }
     /// Guards against a task that runs twice because a later incarnation of its worker received the
     /// start.
-    void a_start_over_a_new_connection_may_reach_another_life() {
+    void a_start_over_a_new_connection_may_reach_another_incarnation() {
         start_reporting();
         report();
         report();
-        start_of_life(born_ms);
+        start_of_incarnation(born_ms);
         // The first start timed out, so its connection was closed and the second opens a new one.
-        CPPUNIT_ASSERT(start_of_life(born_ms).may_reach_other_life);
+        CPPUNIT_ASSERT(start_of_incarnation(born_ms).may_reach_other_life);
     }
     /// Guards against a task that runs twice because a coordinator that doesn't know of the
     /// worker's later incarnation yet orders a start for the earlier one.
-    void a_start_for_an_earlier_life_may_reach_another() {
+    void a_start_for_an_earlier_incarnation_may_reach_another() {
         start_reporting();
         report();
         report();
-        CPPUNIT_ASSERT(start_of_life(born_ms - 1).may_reach_other_life);
+        CPPUNIT_ASSERT(start_of_incarnation(born_ms - 1).may_reach_other_life);
     }
 };
 
