--- a/include/figwinch/link.h
+++ b/include/figwinch/link.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Library `link`: a coordinator's orders by way of other hosts of its cell, in batches, where the
-/// workers are more than one host can call. No I/O of its own.
+/// Library `link`: relays a coordinator's orders to workers through other hosts of its cell, in
+/// batches, when there are more workers than one host can call directly. Also selects the cell's
+/// read replicas. Does no I/O of its own.
 
 #include "figwinch/link/link_lane.h"
 #include "figwinch/link/link_offer.h"
--- a/include/figwinch/link/link_lane.h
+++ b/include/figwinch/link/link_lane.h
@@ -15,13 +15,13 @@
 class LinkResult;
 } // namespace pb
 
-/// A coordinator's orders by way of one other host, in one session: gathers them, hands them over
-/// in exchanges and passes on what they came to. A session whose exchange gets no reply is lost: an
-/// order that was handed over may have been carried out, the others were not sent. Driven by
-/// `tick`. Owned by `linked_orders`.
+/// The coordinator's end of one session with one relay, a host that forwards its orders to workers.
+/// Queues orders, sends them in batches (exchanges) and reports each order's result to its caller.
+/// If an exchange gets no reply, the session is lost: orders already sent may have been executed,
+/// the others were not. Driven by `tick`. Owned by `linked_orders`.
 class link_lane {
 public:
-    /// `where`: the host's bus address. `session` names this session and no other.
+    /// `where`: the relay's bus address. `session`: a name unique to this session.
     link_lane(const clock& time, peer_asker& peers, std::string where, std::string session,
               lease_epoch epoch);
     ~link_lane();
@@ -38,12 +38,13 @@
               worker_orders::hold_handler done);
     void forget(const worker_id& worker);
 
-    /// Hands over what has gathered when it is time to.
+    /// Sends the queued orders if the exchange period has passed and no exchange is in flight.
     void tick();
     bool is_lost() const { return lost_; }
-    /// Ends what is open, of a lane that is lost.
+    /// Completes all pending orders of a lost session: as `unknown` if they were sent, else as
+    /// `not_sent`.
     void end_open();
-    /// Orders that haven't come to anything yet.
+    /// Number of orders without a result.
     std::size_t open() const { return open_.size(); }
 
 private:
@@ -75,16 +76,17 @@
     bool lost_ = false;
     instant next_exchange_{};
     std::uint64_t last_order_ = 0;
-    /// The newest order that was handed over.
+    /// Number of the newest order that was sent to the relay.
     std::uint64_t handed_over_ = 0;
     absl::flat_hash_map<std::uint64_t, open_order> open_;
     std::uint32_t last_worker_ = 0;
     absl::flat_hash_map<worker_id, known_worker> workers_;
     std::uint64_t last_payload_ = 0;
-    /// By job; the oldest in front of `payload_order_`.
+    /// Payload numbers by job, for payloads that the relay has cached. `payload_order_` lists the
+    /// same jobs, oldest first.
     absl::flat_hash_map<std::string, std::uint64_t> payloads_;
     std::deque<std::string> payload_order_;
-    /// Expires with this object: replies that come later are dropped.
+    /// Expires with this object, so that replies that arrive later are dropped.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/include/figwinch/link/link_offer.h
+++ b/include/figwinch/link/link_offer.h
@@ -10,45 +10,46 @@
 
 namespace figwinch {
 
-/// A host's word that it can pass a coordinator's orders on to workers of its data centre.
+/// A host's offer to relay the coordinator's orders to workers of its data centre.
 struct link_offer {
     incarnation_id incarnation;
     std::string bus_address;
     data_centre_id data_centre;
-    /// Workers whose calls it can make.
+    /// Number of workers to which the host can relay orders.
     std::uint32_t carries = 0;
-    /// It is about to stop.
+    /// The host is about to stop and must get no new orders.
     bool leaving = false;
-    /// It keeps a whole copy of the cell's jobs.
+    /// The host holds a complete copy of the cell's jobs.
     bool reads = false;
-    /// Of the readers that it knows: `reader_list::digest`.
+    /// `reader_list::digest` of the host's list of read replicas; 0 without a list.
     std::uint64_t readers_digest = 0;
 };
 
-/// Whether a host keeps a copy of the cell's jobs or asks hosts that do.
+/// Whether a host answers queries about jobs from its own copy of them, as a read replica, or
+/// forwards the queries to read replicas.
 enum class reading_part { undecided, reader, asker };
 
 /// The coordinator's answer to an offer.
 struct offer_reply {
-    /// Whether orders go by way of the host.
+    /// Whether the coordinator uses the host as a relay.
     bool used = false;
     reading_part part = reading_part::undecided;
-    /// Whether the host that replies coordinates.
+    /// Whether the replying host is the coordinator.
     bool coordinates = false;
-    /// Nothing: as the host knows them already.
+    /// The current read replicas; nothing if the host has the current list already.
     std::optional<reader_list> readers;
 };
 
-/// Workers whose calls a host can make beside its other work.
-/// `cpu_share`: of a core; `link_mbps`: megabits a second.
+/// Number of workers to which a host can relay orders beside its other work.
+/// `cpu_share`: the host's share of one core; `link_mbps`: its network bandwidth, Mbit/s.
 std::uint32_t workers_carried(double cpu_share, double link_mbps);
 
 std::string encode_offer(const link_offer& offer);
-/// Nothing on bytes that aren't one.
+/// Returns nothing if `bytes` is no valid offer.
 std::optional<link_offer> decode_offer(std::string_view bytes);
 
 std::string encode_offer_reply(const offer_reply& reply);
-/// Nothing on bytes that aren't one.
+/// Returns nothing if `bytes` is no valid reply to an offer.
 std::optional<offer_reply> decode_offer_reply(std::string_view bytes);
 
 } // namespace figwinch
--- a/include/figwinch/link/link_server.h
+++ b/include/figwinch/link/link_server.h
@@ -8,20 +8,20 @@
 
 namespace figwinch {
 
-/// Passes a coordinator's orders on to workers, and what they came to back. Decides nothing: it
-/// serves the session of the highest epoch that it has seen, and drops orders to start that it
-/// couldn't send at once. Owned by `cell_host`.
+/// A relay's end: forwards a coordinator's orders to workers and returns their results. Makes no
+/// scheduling decisions. Serves only the newest session of the highest epoch that it has seen, and
+/// drops start orders that it could not send within `longest_unsent`. Owned by `cell_host`.
 class link_server {
 public:
-    /// `orders` outlives it.
+    /// `orders` calls the workers; it must outlive this object.
     link_server(const clock& time, worker_orders& orders);
     ~link_server();
     link_server(const link_server&) = delete;
     link_server& operator=(const link_server&) = delete;
 
-    /// Takes an exchange of a coordinator; returns the reply.
+    /// Handles an encoded `LinkExchange` from a coordinator; returns the encoded `LinkReply`.
     std::string exchange(std::string_view bytes);
-    /// Orders passed on since the start.
+    /// Number of orders forwarded since this object was created.
     std::uint64_t passed_on() const { return passed_on_; }
 
 private:
--- a/include/figwinch/link/linked_orders.h
+++ b/include/figwinch/link/linked_orders.h
@@ -9,22 +9,24 @@
 
 namespace figwinch {
 
-/// A coordinator's way to its workers during one reign. While the workers are no more than the
-/// host itself carries, it calls all of them; else hosts of each worker's data centre that have
-/// offered it pass the orders on, as many of them as carry its workers with some to spare. Workers
-/// of a data centre without such a host are called directly. A worker that leaves a hold unanswered
-/// is held by way of another host next, since the host may have lost its own way to it. Driven by
+/// Routes a coordinator's orders to its workers during one leadership term. As long as the host can
+/// call all workers itself, orders are sent directly. Beyond that, hosts that have offered relay
+/// the orders to workers of their own data centre; as many relays are used as that data centre's
+/// workers need, with some spare capacity. Workers of a data centre without a relay are called
+/// directly. When a lease renewal (`hold`) gets no answer from a worker, its next orders take
+/// another relay, since the present one may have lost its connection to the worker. Driven by
 /// `tick`. Owned by `cell_member`.
 class linked_orders final : public worker_orders {
 public:
-    /// What it works with; all outlive it.
+    /// Dependencies; all must outlive this object. `direct` calls workers without a relay.
     struct parts {
         const clock& time;
         worker_orders& direct;
         peer_asker& peers;
     };
 
-    /// `session` names this reign of this process; `carries`: workers that the host itself carries.
+    /// `session`: a prefix for session names, unique to this leadership term of this process.
+    /// `carries`: number of workers that this host can call directly.
     linked_orders(parts with, std::string session, lease_epoch epoch, std::uint32_t carries);
     ~linked_orders() override;
 
@@ -35,7 +37,7 @@
     void hold(const worker_listing& where, const hold_order& order, hold_handler done) override;
     void forget(const worker_id& worker) override;
 
-    /// Takes a host's offer; returns whether orders go by way of it.
+    /// Records a host's offer to relay orders; returns whether the host is in use as a relay.
     bool take_offer(const link_offer& offer);
     void tick();
     std::size_t lanes() const { return lanes_.size(); }
@@ -49,15 +51,15 @@
         std::unique_ptr<link_lane> way;
         link_offer offer;
     };
-    /// By bus address.
+    /// Relays in use, by bus address.
     using lane_map = std::map<std::string, used_host>;
     struct known_worker {
         data_centre_id data_centre;
-        /// The bus address of the lane; empty: called directly.
+        /// Bus address of the worker's relay; empty if the worker is called directly.
         std::string by;
-        /// How many lanes better than this one were left for want of answers.
+        /// Number of better-ranked relays skipped because the worker did not answer through them.
         std::size_t passed_over = 0;
-        /// When the best one is tried again.
+        /// When the best-ranked relay is tried again.
         instant retry_best_at{};
     };
 
@@ -78,13 +80,14 @@
     std::uint32_t carries_;
     std::map<std::string, offered_host> offers_;
     lane_map lanes_;
-    /// Lanes that get no new orders, until what is open on them has come to something.
+    /// Sessions with former relays: they get no new orders and are kept until their pending orders
+    /// have a result.
     std::vector<std::unique_ptr<link_lane>> closing_;
     absl::flat_hash_map<worker_id, known_worker> workers_;
     bool changed_ = false;
     instant next_choice_{};
     std::uint64_t opened_ = 0;
-    /// Expires with this object: answers that come later change no lane.
+    /// Expires with this object, so that answers that arrive later do not access it.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/include/figwinch/link/peer_asker.h
+++ b/include/figwinch/link/peer_asker.h
@@ -8,14 +8,15 @@
 
 namespace figwinch {
 
-/// Asks another host of the cell. Implemented over the bus and by fakes in tests.
+/// Sends requests to other hosts of the cell. Implemented over the bus and by fakes in tests.
 class peer_asker {
 public:
-    /// Gets nothing when no reply came in time.
+    /// Gets the reply's bytes, or nothing if no reply arrived within the timeout.
     using handler = std::function<void(const std::optional<std::string>&)>;
 
     virtual ~peer_asker() = default;
-    /// `where`: a bus address. Calls back once, within `timeout`, never from inside the call.
+    /// Sends `body` to the host at bus address `where`. Calls `done` exactly once, within `timeout`
+    /// and never before `ask` has returned.
     virtual void ask(const std::string& where, std::string body, duration timeout,
                      handler done) = 0;
 };
--- a/include/figwinch/link/peer_message.h
+++ b/include/figwinch/link/peer_message.h
@@ -5,17 +5,17 @@
 
 namespace figwinch {
 
-/// What a message between hosts of a cell is about; its first byte.
+/// The kind of a request between hosts of a cell; sent as the request's first byte.
 enum class peer_message : char {
-    /// Callers' records for the cell's writer.
+    /// Records from callers' requests, handed to the host that writes them to the cell's log.
     handover = 'h',
-    /// A host offers to pass orders on.
+    /// A host offers to relay orders to workers.
     offer = 'o',
-    /// A coordinator's orders.
+    /// A coordinator sends a batch of orders to a relay.
     exchange = 'x',
-    /// A caller's question about jobs.
+    /// A caller's query about jobs, forwarded to a read replica.
     question = 'q',
-    /// A coordinator asks its predecessor to end its reign.
+    /// A newly elected coordinator asks its predecessor to step down.
     step_down = 's',
 };
 
--- a/include/figwinch/link/reader_roster.h
+++ b/include/figwinch/link/reader_roster.h
@@ -8,17 +8,19 @@
 
 namespace figwinch {
 
-/// Chooses which hosts of a cell keep a copy of its jobs: of each data centre those that carry
-/// most. What all hosts read of the log together is bounded, and each reader takes its share of it.
-/// The others ask readers. Fed by the offers that hosts send twice a second. Owned by the
-/// coordinator's `cell_member` during one reign.
+/// Selects which hosts of a cell are read replicas, that is, hold a copy of its jobs: in each data
+/// centre the hosts with the most relay capacity. The number is limited because the hosts' total
+/// read rate from the log is bounded and each replica takes a share of it. All other hosts forward
+/// queries to read replicas. The input are the offers that hosts send twice a second. Owned by the
+/// coordinator's `cell_member` during one leadership term.
 class reader_roster {
 public:
-    /// `own`: the coordinator's data centre. It has a copy itself, but has other things to do than
-    /// to answer questions.
+    /// `own`: the coordinator's data centre. It gets one read replica less, since the coordinator
+    /// holds a copy too; the coordinator is not listed as a replica, to keep queries off it.
     reader_roster(const clock& time, data_centre_id own);
 
-    /// Takes a host's offer; returns its part, and the readers where it doesn't know them.
+    /// Records a host's offer; returns the host's read mode, and the read replicas if the host
+    /// forwards queries and its list is outdated.
     offer_reply take_offer(const link_offer& offer);
 
 private:
@@ -35,10 +37,10 @@
 
     const clock& time_;
     data_centre_id own_;
-    /// Before this moment not all hosts have been heard.
+    /// Until then offers of some hosts may be missing, so that no mode is decided.
     instant all_heard_at_;
     instant next_choice_{};
-    /// By bus address.
+    /// Hosts that have sent offers, by bus address.
     host_map hosts_;
     reader_list readers_;
 };
--- a/src/link/link_codec.cpp
+++ b/src/link/link_codec.cpp
@@ -6,7 +6,7 @@
 namespace figwinch {
 namespace {
 
-// Numbers on the bus, which must stay as they are.
+// The index of a value is its number on the wire: append new values, never reorder.
 constexpr std::array outcomes = {
     order_outcome::done,       order_outcome::superseded,  order_outcome::too_late,
     order_outcome::no_room,    order_outcome::not_advised, order_outcome::refused,
--- a/src/link/link_lane.cpp
+++ b/src/link/link_lane.cpp
@@ -9,12 +9,13 @@
 namespace figwinch {
 namespace {
 
-// Orders and answers wait half of it on average; each exchange costs both ends a wake-up.
+// A longer period delays orders and answers, by half of it on average; a shorter one costs both
+// ends more wake-ups.
 constexpr duration exchange_period = std::chrono::milliseconds(20);
-// A host with a small share of a core may not get to answer for some tenths of a second.
+// A host that is limited to a small share of a core can take a few tenths of a second to answer.
 constexpr duration exchange_patience = std::chrono::milliseconds(700);
 
-/// The job of a task's name.
+/// The job part of a task name: all before the first dot.
 std::string job_of(const std::string& task) {
     return task.substr(0, task.find('.'));
 }
@@ -41,7 +42,9 @@
     return known.number;
 }
 
-/// Both ends forget the oldest payloads in the same order.
+/// Returns the number under which the relay caches the payload of the order's job; queues the
+/// payload if it is not cached. Both ends evict payloads in the same order, oldest first, so that a
+/// number in `payloads_` always refers to a payload that the relay still has.
 std::uint64_t link_lane::payload_of(const start_order& order) {
     const std::string job = job_of(order.task);
     const auto [known, is_new] = payloads_.try_emplace(job, last_payload_ + 1);
@@ -135,7 +138,8 @@
         exchange();
 }
 
-/// Also without new orders: the reply brings what earlier ones came to.
+/// Sends the queued orders. Sends also without any, since the reply carries results of earlier
+/// orders.
 void link_lane::exchange() {
     next_exchange_ = time_.now() + exchange_period;
     in_flight_ = true;
--- a/src/link/link_limits.h
+++ b/src/link/link_limits.h
@@ -6,12 +6,12 @@
 
 namespace figwinch {
 
-/// Payloads that both ends of a session remember; the oldest goes first on both. With the largest
-/// ones 2 MiB.
+/// Number of payloads that both ends of a session cache; both evict the oldest first. Takes 2 MiB
+/// with payloads of the largest size.
 inline constexpr std::size_t most_payloads = 512;
 
-/// How long an order to start may wait unsent on the host that passes it on: with the way to that
-/// host a part of `order_way`.
+/// How long a start order may wait unsent on a relay before it is dropped. This and the delivery to
+/// the relay together must fit into `order_way`.
 inline constexpr duration longest_unsent = std::chrono::milliseconds(300);
 
 } // namespace figwinch
--- a/src/link/link_offer.cpp
+++ b/src/link/link_offer.cpp
@@ -7,10 +7,11 @@
 namespace figwinch {
 namespace {
 
-// What a worker costs the host that calls it: some seven calls a second, of a few KiB in all.
+// Cost of one worker for the host that calls it: about seven calls a second, a few KiB in total.
 constexpr double core_per_worker = 0.0005;
 constexpr double mbps_per_worker = 0.06;
-// Left to callers and to the copy of the log.
+// Share of CPU and bandwidth that calls to workers may use. The rest is for requests from callers
+// and for reading the log.
 constexpr double share_for_calls = 0.5;
 constexpr double most_carried = 100'000;
 
--- a/src/link/link_session.cpp
+++ b/src/link/link_session.cpp
@@ -8,7 +8,8 @@
 namespace figwinch {
 namespace {
 
-// Beyond so many a worker's runs are named again; far more than a worker holds.
+// Limits the run numbers remembered per worker: beyond it they are cleared, and reports name their
+// tasks again. Far more than a worker runs at once.
 constexpr std::size_t most_known_runs = 512;
 
 } // namespace
--- a/src/link/link_session.h
+++ b/src/link/link_session.h
@@ -10,8 +10,8 @@
 
 namespace figwinch {
 
-/// One coordinator's orders at the host that passes them on. Ends when another session begins;
-/// answers that come later are dropped. Owned by `link_server`.
+/// A relay's end of one session with a coordinator. It ends when another session begins; workers'
+/// answers that arrive later are dropped. Owned by `link_server`.
 class link_server::session : public std::enable_shared_from_this<session> {
 public:
     session(const clock& time, worker_orders& orders, std::string name, lease_epoch epoch)
@@ -19,18 +19,18 @@
 
     const std::string& name() const { return name_; }
     lease_epoch epoch() const { return epoch_; }
-    /// Whether an exchange is the next of this session.
+    /// Whether `exchange` is the next one of this session.
     bool continues(const pb::LinkExchange& exchange) const {
         return exchange.session() == name_ && exchange.number() == exchanges_ + 1;
     }
     void take(const pb::LinkExchange& exchange);
-    /// What orders came to since the last call.
+    /// Returns and clears the results collected since the last call.
     pb::LinkReply take_results();
 
 private:
     struct worker {
         worker_listing listing;
-        /// Runs that the coordinator knows by their numbers alone.
+        /// Run numbers whose task the coordinator knows, so that reports may omit the task name.
         absl::flat_hash_set<std::uint64_t> known_runs;
     };
 
@@ -54,7 +54,7 @@
     std::uint64_t exchanges_ = 0;
     absl::flat_hash_map<std::uint32_t, worker> workers_;
     absl::flat_hash_map<std::uint64_t, std::string> payloads_;
-    /// The oldest in front.
+    /// Numbers of the cached payloads, oldest first.
     std::deque<std::uint64_t> payload_order_;
     pb::LinkReply results_;
 };
--- a/src/link/linked_orders.cpp
+++ b/src/link/linked_orders.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr duration choice_period = std::chrono::milliseconds(500);
-// Hosts offer themselves every half second.
+// Hosts repeat their offers every 500 ms; the host is dropped after three missed offers.
 constexpr duration offer_kept = std::chrono::milliseconds(1800);
-// So that the others carry the workers of one that is lost.
+// Spare capacity, so that the remaining relays can serve the workers of one that is lost.
 constexpr double spare_factor = 1.5;
 constexpr std::size_t least_lanes = 2;
 constexpr duration passed_over_for = std::chrono::seconds(30);
@@ -22,7 +22,8 @@
     return offer.leaving ? 0 : offer.carries;
 }
 
-/// Weighted rendezvous hashing: lower is better, and a lane that comes or goes moves only its own.
+/// Ranks a relay for a worker by weighted rendezvous hashing; lower is better. When a relay is
+/// added or removed, only its own workers move.
 double distance(const link_offer& lane, const worker_id& worker) {
     constexpr double range = 18446744073709551616.0;
     const auto drawn = static_cast<double>(rendezvous_weight(lane.bus_address, worker.str()));
@@ -91,8 +92,8 @@
     return lane == lanes_.end() ? nullptr : lane->second.way.get();
 }
 
-/// The best lane of those in the worker's data centre, after those that were passed over. Beside a
-/// single one the coordinator's own calls count as another.
+/// Returns the bus address of the best relay in the worker's data centre that is not skipped; empty
+/// for direct calls. If there is only one relay, direct calls are the alternative to it.
 std::string linked_orders::choose_lane(const worker_id& id, const known_worker& worker) const {
     std::vector<std::pair<double, std::string>> ways;
     for (const auto& [address, lane] : lanes_)
@@ -156,8 +157,9 @@
     }
 }
 
-/// What is open on a lost lane ends only when its workers have gone over to others: the ends bring
-/// new orders.
+/// Discards former relays that have no pending orders, and completes the pending orders of lost
+/// ones. To be called after the workers were assigned to other relays: callers may answer a failed
+/// order with a new one, which must not go to the lost relay.
 void linked_orders::end_closing() {
     std::vector<std::unique_ptr<link_lane>> open;
     for (auto& way : std::exchange(closing_, {})) {
@@ -182,8 +184,8 @@
         choose_lanes_of(data_centre, needed ? count : 0);
 }
 
-/// The hosts that carry most, those first that have a lane already; hosts alike in the order of
-/// their addresses.
+/// Uses the hosts with the most relay capacity; among equals, relays in use come first, then lower
+/// addresses.
 void linked_orders::choose_lanes_of(const data_centre_id& data_centre, std::size_t workers) {
     std::vector<const link_offer*> hosts;
     for (const auto& [address, host] : offers_)
--- a/src/link/reader_roster.cpp
+++ b/src/link/reader_roster.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr std::size_t readers_a_data_centre = 3;
-// With fewer, a host that asks would have nowhere to go when one is lost.
+// With fewer, hosts that forward queries would have no replica left when one is lost.
 constexpr std::size_t least_readers = 2;
 constexpr duration choice_period = std::chrono::milliseconds(250);
-// Hosts offer themselves every half second.
+// Hosts repeat their offers every 500 ms; the host is dropped after three missed offers.
 constexpr duration offer_kept = std::chrono::milliseconds(1800);
 constexpr duration offers_come_within = std::chrono::milliseconds(1000);
 
@@ -37,7 +37,7 @@
     return reply;
 }
 
-/// A host that asks needs readers that have loaded already.
+/// Hosts forward queries only once enough read replicas have loaded their copy.
 reading_part reader_roster::part_of(const heard_host& host) const {
     if (host.chosen)
         return reading_part::reader;
@@ -61,7 +61,8 @@
     readers_ = reader_list(std::move(places));
 }
 
-/// Of hosts that carry alike those go first that are readers already.
+/// Prefers hosts that are not about to stop, then those with more relay capacity, then present
+/// read replicas, then hosts that have loaded a copy.
 void reader_roster::choose_in(const data_centre_id& data_centre) {
     std::vector<heard_host*> hosts;
     for (auto& [address, host] : hosts_)
