--- a/tests/link/fake_peers.h
+++ b/tests/link/fake_peers.h
@@ -9,10 +9,10 @@
 
 namespace figwinch {
 
-/// Hosts by bus address. Asks wait until a test delivers them.
+/// Simulates the other hosts of a cell, by bus address. Requests wait until a test delivers them.
 class fake_peers final : public peer_asker {
 public:
-    /// What a host replies; none: it is silent.
+    /// Computes a host's reply to a request. A host without an entry does not reply.
     std::map<std::string, std::function<std::string(std::string_view)>> hosts;
     std::size_t asked = 0;
     std::size_t bytes = 0;
@@ -22,7 +22,7 @@
         bytes += body.size();
         waiting_.push_back({where, std::move(body), std::move(done)});
     }
-    /// Delivers all that waits; silent hosts' asks end without a reply.
+    /// Delivers all waiting requests; those to hosts without an entry end as if timed out.
     void deliver() {
         for (const waiting_ask& one : std::exchange(waiting_, {})) {
             const auto host = hosts.find(one.where);
--- a/tests/link/fake_workers.h
+++ b/tests/link/fake_workers.h
@@ -8,7 +8,8 @@
 
 namespace figwinch {
 
-/// Workers that note what they are ordered and answer when a test says so.
+/// Records orders to workers. Answers stop and pace orders at once; a test completes start and hold
+/// orders by calling `done`.
 class fake_workers final : public worker_orders {
 public:
     struct noted_start {
--- a/tests/link/link_lane_test.cpp
+++ b/tests/link/link_lane_test.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-/// A lane of a coordinator and the host that it goes by way of.
+/// Both ends of one relay session: a coordinator's `link_lane` and the relay's `link_server`.
 class link_lane_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(link_lane_test);
     CPPUNIT_TEST(orders_reach_their_workers_and_answers_come_back);
@@ -38,7 +38,8 @@
         lane_.tick();
         peers_.deliver();
     }
-    /// The report that a hold comes back with.
+    /// Sends a lease renewal that the worker answers with `report`; returns the report that reaches
+    /// the coordinator.
     worker_report told(const worker_report& report, const hold_order& order) {
         worker_report seen;
         lane_.hold(worker_, order, [&](order_outcome outcome, const worker_report& answer) {
@@ -79,7 +80,8 @@
                                                 order_outcome::no_room}));
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, lane_.open());
     }
-    /// Guards against a lost worker's task that is waited for as if a later life had its start.
+    /// Guards against the relay losing `may_reach_other_life`: the coordinator would wait for a
+    /// lost worker's task as if a later incarnation of the worker might still have got the start.
     void a_start_that_reached_one_life_only_is_told_as_that() {
         constexpr std::uint64_t born_ms = 1'750'000'000'000;
         std::vector<bool> others;
@@ -96,8 +98,8 @@
         exchange();
         CPPUNIT_ASSERT((others == std::vector{false, true}));
     }
-    /// Guards against a task that is started elsewhere while a host that is out of reach may still
-    /// start it.
+    /// Guards against starting a task twice: an order sent to a relay that became unreachable may
+    /// still be executed, so it must end as `unknown`, not as `not_sent`.
     void a_lost_lane_leaves_handed_over_orders_unknown() {
         std::vector<order_outcome> outcomes;
         const auto note = [&](const order_answer& answer) { outcomes.push_back(answer.outcome); };
@@ -115,7 +117,7 @@
         CPPUNIT_ASSERT((outcomes == std::vector{order_outcome::not_sent, order_outcome::unknown,
                                                 order_outcome::unknown}));
     }
-    /// Guards against a narrow link that carries the same payload for each task of a step.
+    /// Guards against wasting bandwidth by sending a job's payload again for each of its tasks.
     void a_payload_is_handed_over_once_a_job() {
         start_order start = start_of("job1.0.0.0", 1);
         start.payload = std::string(4000, 's');
@@ -127,7 +129,8 @@
         CPPUNIT_ASSERT(peers_.bytes < 2 * start.payload.size() + other_bytes);
         CPPUNIT_ASSERT(workers_.starts.back().order.payload == start.payload);
     }
-    /// Guards against a start with another job's payload, or with none.
+    /// Guards against starts with a wrong or missing payload when the two ends evict cached
+    /// payloads differently.
     void a_payload_that_both_ends_forgot_is_handed_over_again() {
         for (int job = 0; job < 1200; ++job)
             lane_.start(worker_, start_of(absl::StrCat("job", job, ".0.0.0"), 1),
@@ -141,8 +144,8 @@
                                      start.order.task.substr(0, start.order.task.find('.')),
                                  start.order.payload);
     }
-    /// Guards against reports that a narrow link can't carry, and against runs that nobody can
-    /// tell.
+    /// Guards against reports too large for a low-bandwidth link, by omitting task names that the
+    /// coordinator knows, and against omitting names that it does not know or has asked for.
     void known_runs_arent_named() {
         lane_.start(worker_, start_of("job1.0.0.0", 1), [](const order_answer&) {});
         worker_report report;
@@ -161,7 +164,7 @@
         seen = told(report, named);
         CPPUNIT_ASSERT_EQUAL(std::string("job1.0.0.0"), seen.running.at(0).task);
     }
-    /// Guards against members of a gang that are taken for one another.
+    /// Guards against mixing up members of a gang, whose runs share one run number.
     void runs_that_share_a_number_are_named() {
         worker_report report;
         report.running = {{"job1.0.0.0", run_number(1), "", 5, 640},
@@ -172,7 +175,8 @@
             CPPUNIT_ASSERT_EQUAL(std::string("job1.0.0.1"), seen.running.at(1).task);
         }
     }
-    /// Guards against ends of a new life that are taken for those of the one before.
+    /// Guards against taking the ends of a worker's new incarnation for those of the previous one:
+    /// they have the same numbers, and would be left out of the report.
     void ends_that_are_known_arent_told_again() {
         worker_report report;
         report.born_ms = 100;
@@ -189,7 +193,8 @@
         seen = told(report, order);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, seen.ended.size());
     }
-    /// Guards against a start on a worker whose notice was read while the host's link was full.
+    /// Guards against a start order that waits on a saturated link of the relay and is sent
+    /// although a notice about the worker has arrived in the meantime.
     void a_start_isnt_sent_late() {
         lane_.start(worker_, start_of("job1.0.0.0", 1), [](const order_answer&) {});
         exchange();
@@ -198,7 +203,7 @@
         time_.advance(order_way);
         CPPUNIT_ASSERT(!sent.still_wanted());
     }
-    /// Guards against answers that are waited for from a process that is gone.
+    /// Guards against waiting for answers from a relay process that has been replaced by another.
     void a_host_that_was_restarted_ends_the_lane() {
         lane_.start(worker_, start_of("job1.0.0.0", 1), [](const order_answer&) {});
         exchange();
--- a/tests/link/link_offer_test.cpp
+++ b/tests/link/link_offer_test.cpp
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT(!decode_offer(""));
         CPPUNIT_ASSERT(!decode_offer("\xff\xff\xff"));
     }
-    /// Guards against a host that is given more workers than its link carries.
+    /// Guards against assigning a host more workers than its CPU share or its bandwidth allows.
     void the_narrower_of_processor_and_link_decides() {
         CPPUNIT_ASSERT(workers_carried(0.5, 200) > workers_carried(0.12, 200));
         CPPUNIT_ASSERT(workers_carried(0.12, 2) < workers_carried(0.12, 20));
--- a/tests/link/link_server_test.cpp
+++ b/tests/link/link_server_test.cpp
@@ -42,7 +42,8 @@
     }
 
 public:
-    /// Guards against two coordinators whose orders a host passes on in turn.
+    /// Guards against a relay that forwards orders of a deposed coordinator beside those of its
+    /// successor.
     void a_coordinator_that_was_followed_gets_nothing_passed_on() {
         CPPUNIT_ASSERT(reply_to(make("old", 1, 4)).taken());
         CPPUNIT_ASSERT(reply_to(make("new", 1, 5)).taken());
@@ -51,7 +52,8 @@
         CPPUNIT_ASSERT(reply_to(make("new", 2, 5)).taken());
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, workers_.holds.size());
     }
-    /// Guards against workers and payloads that this host never heard of.
+    /// Guards against orders that refer to workers or payloads of an exchange that the relay never
+    /// received.
     void an_exchange_that_was_missed_ends_the_session() {
         CPPUNIT_ASSERT(reply_to(make("one", 1, 4)).taken());
         CPPUNIT_ASSERT(!reply_to(make("one", 3, 4)).taken());
@@ -64,7 +66,7 @@
             CPPUNIT_ASSERT(!reply.taken());
         }
     }
-    /// Guards against an answer that is taken for that of another order with the same number.
+    /// Guards against matching an answer to another order: order numbers repeat in each session.
     void answers_of_an_earlier_session_are_dropped() {
         reply_to(make("one", 1, 4));
         reply_to(make("two", 1, 4));
--- a/tests/link/linked_orders_test.cpp
+++ b/tests/link/linked_orders_test.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-/// Twenty workers in two data centres and a coordinator that carries ten.
+/// Twenty workers in two data centres and a coordinator that can call ten workers directly.
 class linked_orders_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(linked_orders_test);
     CPPUNIT_TEST(a_small_cell_is_called_directly);
@@ -66,7 +66,7 @@
             if (const auto done = std::exchange(one.done, nullptr))
                 done(outcome, {});
     }
-    /// Two hosts a data centre, used once the workers are known.
+    /// Adds two hosts per data centre, which become relays once the workers are known.
     void begin() {
         for (const char* const address : {"a:1", "a:2", "b:1", "b:2"}) {
             add_host(address);
@@ -81,7 +81,7 @@
     }
 
 public:
-    /// Guards against orders that take a longer way than they need.
+    /// Guards against relaying orders that the coordinator has the capacity to send directly.
     void a_small_cell_is_called_directly() {
         add_host("a:1");
         offer("a:1", 100);
@@ -93,7 +93,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t{20}, direct_.holds.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, orders_.lanes());
     }
-    /// Guards against a coordinator that calls more workers than its processor and link carry.
+    /// Guards against a coordinator that calls more workers directly than its CPU and bandwidth
+    /// allow.
     void hosts_of_a_workers_data_centre_pass_its_orders_on() {
         begin();
         const std::size_t before = direct_.holds.size();
@@ -104,7 +105,7 @@
         CPPUNIT_ASSERT(held_by("a:1") > 0 && held_by("a:2") > 0);
         CPPUNIT_ASSERT_EQUAL(std::size_t{10}, held_by("b:1") + held_by("b:2"));
     }
-    /// Guards against exchanges with every host of a large cell.
+    /// Guards against using every host of a large cell as a relay.
     void no_more_hosts_are_used_than_carry_the_workers() {
         begin();
         for (int more = 3; more < 30; ++more)
@@ -115,7 +116,7 @@
         turn();
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, orders_.lanes());
     }
-    /// Guards against workers whose leases lapse because the host that holds them is gone.
+    /// Guards against workers' leases that expire because their relay does not respond any more.
     void workers_of_a_host_that_is_silent_go_to_others() {
         begin();
         turn();
@@ -133,8 +134,8 @@
         turn();
         CPPUNIT_ASSERT_EQUAL(before + 10, held_by("a:2"));
     }
-    /// Guards against workers whose leases lapse because the host that holds them answers the
-    /// coordinator and reaches none of them.
+    /// Guards against workers' leases that expire because their relay answers the coordinator but
+    /// cannot reach the workers.
     void workers_of_a_host_that_reaches_none_go_to_others() {
         begin();
         constexpr int turns_a_second = 40;
@@ -151,7 +152,7 @@
         turn();
         CPPUNIT_ASSERT_EQUAL(before + 10, held_by("a:2"));
     }
-    /// Guards against orders that are lost in a planned restart.
+    /// Guards against losing orders in a planned restart of a relay.
     void workers_of_a_host_that_leaves_go_to_others_at_once() {
         begin();
         turn();
@@ -168,7 +169,7 @@
         turn();
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t(open), std::ranges::count(held_, order_outcome::done));
     }
-    /// Guards against orders to a process that doesn't know the session.
+    /// Guards against sending orders to a restarted relay process, which does not know the session.
     void a_restarted_host_is_used_anew() {
         begin();
         hold(20);
--- a/tests/link/reader_roster_test.cpp
+++ b/tests/link/reader_roster_test.cpp
@@ -46,7 +46,7 @@
             known_[address] = reply.readers->digest();
         told_[address] = reply;
     }
-    /// Hosts offer themselves; the first of a data centre carry most.
+    /// Each data centre's hosts send their offers; the first hosts have the most relay capacity.
     void turn(std::uint32_t hosts = 6) {
         time_.advance(milliseconds(500));
         for (std::uint32_t index = 0; index < hosts; ++index)
@@ -72,12 +72,12 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), hosts_told(reading_part::reader));
         CPPUNIT_ASSERT(told_["a:0"].coordinates);
     }
-    /// The coordinator counts as one of its data centre.
+    /// The coordinator's data centre gets one read replica less, as the coordinator has a copy too.
     void the_strongest_of_each_data_centre_read() {
         turns(4);
         CPPUNIT_ASSERT_EQUAL(std::string("a:0 a:1 b:0 b:1 b:2 "), hosts_told(reading_part::reader));
     }
-    /// Guards against hosts that have nobody to ask.
+    /// Guards against hosts that forward queries before any read replica can answer them.
     void nobody_asks_before_readers_have_loaded() {
         unloaded_ = {"a:0", "a:1", "b:0", "b:1", "b:2"};
         turns(4);
@@ -91,7 +91,7 @@
         for (const reader_place& reader : readers.places())
             CPPUNIT_ASSERT(reader.bus_address != "b:0");
     }
-    /// Guards against a data centre whose readers are lost one after the other.
+    /// Guards against a data centre that loses its read replicas one by one without replacement.
     void a_silent_reader_is_replaced() {
         turns(4);
         silent_ = {"b:0", "b:1"};
