--- a/include/figwinch/link/link_lane.h
+++ b/include/figwinch/link/link_lane.h
@@ -16,7 +16,7 @@
 } // namespace pb
 
 /// The coordinator's end of one session with one relay, a host that forwards its orders to workers.
-/// Queues orders, sends them in batches (exchanges) and reports each order's result to its caller.
+/// Queues orders, sends them in batches (exchanges) and passes each order's result to its handler.
 /// If an exchange gets no reply, the session is lost: orders already sent may have been executed,
 /// the others were not. Driven by `tick`. Owned by `linked_orders`.
 class link_lane {
--- a/include/figwinch/link/link_server.h
+++ b/include/figwinch/link/link_server.h
@@ -8,9 +8,10 @@
 
 namespace figwinch {
 
-/// A relay's end: forwards a coordinator's orders to workers and returns their results. Makes no
-/// scheduling decisions. Serves only the newest session of the highest epoch that it has seen, and
-/// drops start orders that it could not send within `longest_unsent`. Owned by `cell_host`.
+/// The relay's end of sessions: forwards a coordinator's orders to workers and returns the results.
+/// Makes no scheduling decisions. Serves only the newest session of the highest epoch that it has
+/// seen, and drops start orders that it could not send within `longest_unsent`. Owned by
+/// `cell_member`.
 class link_server {
 public:
     /// `orders` calls the workers; it must outlive this object.
--- a/include/figwinch/link/linked_orders.h
+++ b/include/figwinch/link/linked_orders.h
@@ -10,11 +10,11 @@
 namespace figwinch {
 
 /// Routes a coordinator's orders to its workers during one leadership term. As long as the host can
-/// call all workers itself, orders are sent directly. Beyond that, hosts that have offered relay
-/// the orders to workers of their own data centre; as many relays are used as that data centre's
-/// workers need, with some spare capacity. Workers of a data centre without a relay are called
-/// directly. When a lease renewal (`hold`) gets no answer from a worker, its next orders take
-/// another relay, since the present one may have lost its connection to the worker. Driven by
+/// call all workers itself, orders are sent directly. Beyond that, hosts that have offered to
+/// do so relay the orders to workers of their own data centre; as many relays are used as that data
+/// centre's workers need, with some spare capacity. Workers of a data centre without a relay are
+/// called directly. When a lease renewal (`hold`) gets no answer from a worker, its next orders
+/// take another relay, since the present one may have lost its connection to the worker. Driven by
 /// `tick`. Owned by `cell_member`.
 class linked_orders final : public worker_orders {
 public:
--- a/include/figwinch/link/reader_roster.h
+++ b/include/figwinch/link/reader_roster.h
@@ -11,11 +11,11 @@
 /// Selects which hosts of a cell are read replicas, that is, hold a copy of its jobs: in each data
 /// centre the hosts with the most relay capacity. The number is limited because the hosts' total
 /// read rate from the log is bounded and each replica takes a share of it. All other hosts forward
-/// queries to read replicas. The input are the offers that hosts send twice a second. Owned by the
+/// queries to read replicas. Its input is the offers that hosts send twice a second. Owned by the
 /// coordinator's `cell_member` during one leadership term.
 class reader_roster {
 public:
-    /// `own`: the coordinator's data centre. It gets one read replica less, since the coordinator
+    /// `own`: the coordinator's data centre. It gets one read replica fewer, since the coordinator
     /// holds a copy too; the coordinator is not listed as a replica, to keep queries off it.
     reader_roster(const clock& time, data_centre_id own);
 
@@ -37,7 +37,8 @@
 
     const clock& time_;
     data_centre_id own_;
-    /// Until then offers of some hosts may be missing, so that no mode is decided.
+    /// End of the initial wait for offers: before it, offers of some hosts may be missing, and no
+    /// host is assigned a mode.
     instant all_heard_at_;
     instant next_choice_{};
     /// Hosts that have sent offers, by bus address.
--- a/src/link/linked_orders.cpp
+++ b/src/link/linked_orders.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr duration choice_period = std::chrono::milliseconds(500);
-// Hosts repeat their offers every 500 ms; the host is dropped after three missed offers.
+// Hosts repeat their offers every 500 ms; a host is dropped after three missed offers.
 constexpr duration offer_kept = std::chrono::milliseconds(1800);
 // Spare capacity, so that the remaining relays can serve the workers of one that is lost.
 constexpr double spare_factor = 1.5;
@@ -158,8 +158,8 @@
 }
 
 /// Discards former relays that have no pending orders, and completes the pending orders of lost
-/// ones. To be called after the workers were assigned to other relays: callers may answer a failed
-/// order with a new one, which must not go to the lost relay.
+/// ones. To be called after the workers were assigned to other relays: the coordinator may answer
+/// a failed order with a new one, which must not go to the lost relay.
 void linked_orders::end_closing() {
     std::vector<std::unique_ptr<link_lane>> open;
     for (auto& way : std::exchange(closing_, {})) {
--- a/src/link/reader_roster.cpp
+++ b/src/link/reader_roster.cpp
@@ -12,7 +12,7 @@
 // With fewer, hosts that forward queries would have no replica left when one is lost.
 constexpr std::size_t least_readers = 2;
 constexpr duration choice_period = std::chrono::milliseconds(250);
-// Hosts repeat their offers every 500 ms; the host is dropped after three missed offers.
+// Hosts repeat their offers every 500 ms; a host is dropped after three missed offers.
 constexpr duration offer_kept = std::chrono::milliseconds(1800);
 constexpr duration offers_come_within = std::chrono::milliseconds(1000);
 
--- a/tests/link/reader_roster_test.cpp
+++ b/tests/link/reader_roster_test.cpp
@@ -72,7 +72,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), hosts_told(reading_part::reader));
         CPPUNIT_ASSERT(told_["a:0"].coordinates);
     }
-    /// The coordinator's data centre gets one read replica less, as the coordinator has a copy too.
+    /// The coordinator's data centre gets one read replica fewer, as the coordinator has a copy
+    /// too.
     void the_strongest_of_each_data_centre_read() {
         turns(4);
         CPPUNIT_ASSERT_EQUAL(std::string("a:0 a:1 b:0 b:1 b:2 "), hosts_told(reading_part::reader));
