--- a/include/figwinch/link/link_lane.h
+++ b/include/figwinch/link/link_lane.h
@@ -44,7 +44,7 @@
     /// Completes all pending orders of a lost session: as `unknown` if they were sent, else as
     /// `not_sent`.
     void end_open();
-    /// Number of orders without a result.
+    /// Number of orders that have no result yet.
     std::size_t open() const { return open_.size(); }
 
 private:
--- a/src/link/link_lane.cpp
+++ b/src/link/link_lane.cpp
@@ -138,8 +138,8 @@
         exchange();
 }
 
-/// Sends the queued orders. Sends also without any, since the reply carries results of earlier
-/// orders.
+/// Sends the queued orders; without any an empty exchange, since the reply carries results of
+/// earlier orders.
 void link_lane::exchange() {
     next_exchange_ = time_.now() + exchange_period;
     in_flight_ = true;
--- a/src/link/link_limits.h
+++ b/src/link/link_limits.h
@@ -6,8 +6,8 @@
 
 namespace figwinch {
 
-/// Number of payloads that both ends of a session cache; both evict the oldest first. Takes 2 MiB
-/// with payloads of the largest size.
+/// Number of payloads that both ends of a relay session cache; both evict the oldest first. Takes 2
+/// MiB with payloads of the largest size.
 inline constexpr std::size_t most_payloads = 512;
 
 /// How long a start order may wait unsent on a relay before it is dropped. This and the delivery to
