--- a/include/figwinch/link/reader_list.h
+++ b/include/figwinch/link/replica_list.h
@@ -9,25 +9,25 @@
 namespace figwinch {
 
 /// A read replica: a host that answers queries from its copy of the cell's jobs.
-struct reader_place {
+struct read_replica {
     std::string bus_address;
     data_centre_id data_centre;
-    friend bool operator==(const reader_place&, const reader_place&) = default;
+    friend bool operator==(const read_replica&, const read_replica&) = default;
 };
 
 /// The cell's read replicas, which answer queries about jobs, sorted by bus address.
-class reader_list {
+class replica_list {
 public:
-    reader_list() = default;
-    explicit reader_list(std::vector<reader_place> places);
+    replica_list() = default;
+    explicit replica_list(std::vector<read_replica> entries);
 
-    const std::vector<reader_place>& places() const { return places_; }
+    const std::vector<read_replica>& entries() const { return entries_; }
     /// A hash of the list's content. Equal lists have equal digests; 0 means that no list has been
     /// received yet.
     std::uint64_t digest() const { return digest_; }
 
 private:
-    std::vector<reader_place> places_;
+    std::vector<read_replica> entries_;
     std::uint64_t digest_ = 0;
 };
 
--- a/include/figwinch/link/reader_roster.h
+++ b/include/figwinch/link/replica_selector.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "figwinch/link/link_offer.h"
+#include "figwinch/link/relay_offer.h"
 
 #include <map>
 #include <string>
@@ -13,37 +13,38 @@
 /// read rate from the log is bounded and each replica takes a share of it. All other hosts forward
 /// queries to read replicas. Its input is the offers that hosts send twice a second. Owned by the
 /// coordinator's `cell_member` during one leadership term.
-class reader_roster {
+class replica_selector {
 public:
-    /// `own`: the coordinator's data centre. It gets one read replica fewer, since the coordinator
-    /// holds a copy too; the coordinator is not listed as a replica, to keep queries off it.
-    reader_roster(const clock& time, data_centre_id own);
+    /// `coordinator_data_centre`: the coordinator's data centre. It gets one read replica fewer,
+    /// since the coordinator holds a copy too; the coordinator is not listed as a replica, to keep
+    /// queries off it.
+    replica_selector(const clock& time, data_centre_id coordinator_data_centre);
 
     /// Records a host's offer; returns the host's read mode, and the read replicas if the host
     /// forwards queries and its list is outdated.
-    offer_reply take_offer(const link_offer& offer);
+    offer_reply apply_offer(const relay_offer& offer);
 
 private:
-    struct heard_host {
-        link_offer offer;
-        instant at{};
+    struct candidate {
+        relay_offer offer;
+        instant heard_at{};
         bool chosen = false;
     };
-    using host_map = std::map<std::string, heard_host>;
+    using candidate_map = std::map<std::string, candidate>;
 
-    void choose();
-    void choose_in(const data_centre_id& data_centre);
-    reading_part part_of(const heard_host& host) const;
+    void choose_replicas();
+    void choose_replicas_in(const data_centre_id& data_centre);
+    read_mode mode_of(const candidate& host) const;
 
     const clock& time_;
-    data_centre_id own_;
+    data_centre_id coordinator_data_centre_;
     /// End of the initial wait for offers: before it, offers of some hosts may be missing, and no
     /// host is assigned a mode.
-    instant all_heard_at_;
-    instant next_choice_{};
+    instant offers_complete_at_;
+    instant next_choice_at_{};
     /// Hosts that have sent offers, by bus address.
-    host_map hosts_;
-    reader_list readers_;
+    candidate_map candidates_;
+    replica_list replicas_;
 };
 
 } // namespace figwinch
--- a/include/figwinch/simulation/sim_peers.h
+++ b/include/figwinch/simulation/sim_peers.h
@@ -58,7 +58,7 @@
 };
 
 /// One host's way to the others. Without a bus nobody answers.
-class sim_asker final : public peer_asker {
+class sim_asker final : public peer_client {
 public:
     sim_asker(sim_time& time, sim_peers* peers, std::string self)
         : time_(time), peers_(peers), self_(std::move(self)) {}
--- a/src/cell_host/bus_asker.h
+++ b/src/cell_host/bus_asker.h
@@ -5,8 +5,8 @@
 
 namespace figwinch {
 
-/// `peer_asker` over the bus, once there is one. Owned by `cell_host`.
-class bus_asker final : public peer_asker {
+/// `peer_client` over the bus, once there is one. Owned by `cell_host`.
+class bus_asker final : public peer_client {
 public:
     explicit bus_asker(event_loop& loop) : loop_(loop) {}
 
--- a/src/cell_host/cell_host.cpp
+++ b/src/cell_host/cell_host.cpp
@@ -27,7 +27,7 @@
 
 member_place place_of(const cell_host_settings& with) {
     return {to_string(with.bus), data_centre_id(with.data_centre),
-            workers_carried(with.cpu_share, with.link_mbps)};
+            relay_capacity(with.cpu_share, with.link_mbps)};
 }
 
 } // namespace
--- a/src/cell_host/cell_member.cpp
+++ b/src/cell_host/cell_member.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-cell_member::cell_member(const clock& time, cell_platform& platform, peer_asker& peers,
+cell_member::cell_member(const clock& time, cell_platform& platform, peer_client& peers,
                          const cell_settings& settings, incarnation_id self, member_place place,
                          double cpu_share)
     : time_(time), platform_(platform), peers_(peers), settings_(settings), self_(std::move(self)),
@@ -61,7 +61,7 @@
                 [this](const std::function<void(bool)>& done) { intake_.sync(done); }),
       others_jobs_({time, peers, role_, place_.data_centre}),
       jobs_(own_jobs_, others_jobs_,
-            [this] { return has_copy() || role_.readers().places().empty(); }),
+            [this] { return has_copy() || role_.readers().entries().empty(); }),
       questions_(time, own_jobs_, [this] { return has_copy(); }),
       writer_({time, platform.log(),
                [this](const stored_record& record) {
--- a/src/cell_host/cell_member.h
+++ b/src/cell_host/cell_member.h
@@ -30,7 +30,7 @@
 class cell_member {
 public:
     /// `peers` outlives it.
-    cell_member(const clock& time, cell_platform& platform, peer_asker& peers,
+    cell_member(const clock& time, cell_platform& platform, peer_client& peers,
                 const cell_settings& settings, incarnation_id self, member_place place,
                 double cpu_share);
 
@@ -45,7 +45,9 @@
     std::string take_offer(std::string_view bytes);
     /// Ends this host's reign when another asks that follows it.
     std::string take_step_down(std::string_view bytes);
-    std::string take_exchange(std::string_view bytes) { return link_server_.exchange(bytes); }
+    std::string take_exchange(std::string_view bytes) {
+        return link_server_.handle_exchange(bytes);
+    }
     void take_question(std::string_view bytes, const std::function<void(std::string)>& reply) {
         questions_.handle(bytes, reply);
     }
@@ -58,11 +60,11 @@
     /// Nothing while another host coordinates.
     const coordinator* coordinating() const { return coordinator_.get(); }
     /// Hosts by way of which this one's orders go.
-    std::size_t links() const { return orders_ ? orders_->lanes() : 0; }
-    std::uint64_t passed_on() const { return link_server_.passed_on(); }
+    std::size_t links() const { return orders_ ? orders_->relay_count() : 0; }
+    std::uint64_t passed_on() const { return link_server_.orders_forwarded(); }
     /// Whether it can serve callers.
     bool is_loaded() const {
-        return config_ && (intake_.is_loaded() || !role_.readers().places().empty());
+        return config_ && (intake_.is_loaded() || !role_.readers().entries().empty());
     }
     /// Answers callers' questions about jobs.
     job_source& jobs() { return jobs_; }
@@ -110,7 +112,7 @@
 
     const clock& time_;
     cell_platform& platform_;
-    peer_asker& peers_;
+    peer_client& peers_;
     cell_settings settings_;
     incarnation_id self_;
     member_place place_;
@@ -131,15 +133,15 @@
     reign reign_;
     std::unique_ptr<progress_writer> journal_;
     /// While this host coordinates: its way to the workers.
-    std::unique_ptr<linked_orders> orders_;
+    std::unique_ptr<order_router> orders_;
     /// While this host coordinates: who keeps copies.
-    std::unique_ptr<reader_roster> roster_;
+    std::unique_ptr<replica_selector> roster_;
     std::unique_ptr<coordinator> coordinator_;
     /// While workers of the reign before are in doubt.
     std::unique_ptr<predecessor_asker> predecessor_;
     /// Of the reign that this host ended last, for a successor that asks later.
     std::optional<ended_reign> ended_;
-    link_server link_server_;
+    relay_server link_server_;
     /// To whom this host offered itself last, and when it does again.
     std::string offered_to_;
     bool offered_leaving_ = false;
--- a/src/cell_host/cell_member_jobs.cpp
+++ b/src/cell_host/cell_member_jobs.cpp
@@ -96,7 +96,7 @@
     offered_to_ = reign->bus_address;
     offered_leaving_ = reign_.has_resigned();
     next_offer_ = now + offer_period;
-    const link_offer offer{
+    const relay_offer offer{
         self_,      place_.bus_address,      place_.data_centre, place_.carries, offered_leaving_,
         has_copy(), role_.readers().digest()};
     peers_.ask(offered_to_, encode_peer_message(peer_message::offer, encode_offer(offer)),
@@ -114,11 +114,11 @@
 }
 
 std::string cell_member::take_offer(std::string_view bytes) {
-    const std::optional<link_offer> offer = decode_offer(bytes);
+    const std::optional<relay_offer> offer = decode_offer(bytes);
     if (!offer || !orders_)
         return encode_offer_reply({});
-    offer_reply reply = roster_->take_offer(*offer);
-    reply.used = orders_->take_offer(*offer);
+    offer_reply reply = roster_->apply_offer(*offer);
+    reply.used_as_relay = orders_->apply_offer(*offer);
     return encode_offer_reply(reply);
 }
 
--- a/src/cell_host/cell_member_reign.cpp
+++ b/src/cell_host/cell_member_reign.cpp
@@ -111,10 +111,10 @@
         deposed_ = true;
         return;
     }
-    orders_ = std::make_unique<linked_orders>(
-        linked_orders::parts{time_, platform_.orders(), peers_},
+    orders_ = std::make_unique<order_router>(
+        order_router::dependencies{time_, platform_.orders(), peers_},
         self_.str() + "/" + std::to_string(prepared_.value()), prepared_, place_.carries);
-    roster_ = std::make_unique<reader_roster>(time_, place_.data_centre);
+    roster_ = std::make_unique<replica_selector>(time_, place_.data_centre);
     coordinator_ = coordinator::create(
         {time_, *orders_, platform_.advisor(), *journal_, [this] { return reign_.confirmed_at(); },
          [this] { return sees_notices(); }, [this] { deposed_ = true; },
--- a/src/cell_host/peer_jobs.cpp
+++ b/src/cell_host/peer_jobs.cpp
@@ -57,12 +57,12 @@
 std::vector<std::string> peer_jobs::readers_in_turn() {
     const instant now = with_.time.now();
     absl::erase_if(absent_, [now](const auto& entry) { return now >= entry.second; });
-    std::vector<reader_place> readers = with_.role.readers().places();
+    std::vector<read_replica> readers = with_.role.readers().entries();
     if (!readers.empty()) {
         const auto turn = static_cast<std::ptrdiff_t>(turn_++ % readers.size());
         std::rotate(readers.begin(), readers.begin() + turn, readers.end());
     }
-    std::ranges::stable_sort(readers, {}, [this](const reader_place& reader) {
+    std::ranges::stable_sort(readers, {}, [this](const read_replica& reader) {
         return std::tuple(absent_.contains(reader.bus_address),
                           reader.data_centre != with_.data_centre);
     });
@@ -70,7 +70,7 @@
         readers.resize(most_readers_asked);
     std::vector<std::string> addresses;
     addresses.reserve(readers.size());
-    for (const reader_place& reader : readers)
+    for (const read_replica& reader : readers)
         addresses.push_back(reader.bus_address);
     std::ranges::reverse(addresses);
     return addresses;
--- a/src/cell_host/peer_jobs.h
+++ b/src/cell_host/peer_jobs.h
@@ -20,7 +20,7 @@
     /// What it works with; all outlive it.
     struct parts {
         const clock& time;
-        peer_asker& peers;
+        peer_client& peers;
         reading_role& role;
         data_centre_id data_centre;
     };
--- a/src/cell_host/predecessor_asker.cpp
+++ b/src/cell_host/predecessor_asker.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-predecessor_asker::predecessor_asker(const clock& time, peer_asker& peers,
+predecessor_asker::predecessor_asker(const clock& time, peer_client& peers,
                                      const reign_view& predecessor, lease_epoch epoch,
                                      instant acts_until,
                                      std::function<void(const outstanding_orders&)> take)
--- a/src/cell_host/predecessor_asker.h
+++ b/src/cell_host/predecessor_asker.h
@@ -14,7 +14,7 @@
 class predecessor_asker {
 public:
     /// `peers` outlives it; `take` is called at most once, from a reply.
-    predecessor_asker(const clock& time, peer_asker& peers, const reign_view& predecessor,
+    predecessor_asker(const clock& time, peer_client& peers, const reign_view& predecessor,
                       lease_epoch epoch, instant acts_until,
                       std::function<void(const outstanding_orders&)> take);
 
@@ -25,7 +25,7 @@
     void take_reply(const std::optional<std::string>& bytes);
 
     const clock& time_;
-    peer_asker& peers_;
+    peer_client& peers_;
     std::string where_;
     std::string message_;
     instant acts_until_;
--- a/src/cell_host/reading_role.cpp
+++ b/src/cell_host/reading_role.cpp
@@ -26,18 +26,18 @@
     : time_(time), patience_(patience_of(self)) {}
 
 void reading_role::take(const offer_reply& reply) {
-    if (reply.readers)
-        readers_ = *reply.readers;
-    if (reply.coordinates && !coordinator_heard_at_)
+    if (reply.replicas)
+        readers_ = *reply.replicas;
+    if (reply.from_coordinator && !coordinator_heard_at_)
         coordinator_heard_at_ = time_.now();
-    told_ = told_ || reply.part != reading_part::undecided;
-    if (reply.part == reading_part::undecided || time_.now() < own_until_)
+    told_ = told_ || reply.mode != read_mode::undecided;
+    if (reply.mode == read_mode::undecided || time_.now() < own_until_)
         return;
-    const bool reads = reply.part == reading_part::reader;
+    const bool reads = reply.mode == read_mode::replica;
     if (std::exchange(reads_, reads) != reads)
         log_event(
             log_level::info, "reading_changed",
-            {{"reads", reads}, {"readers", static_cast<std::int64_t>(readers_.places().size())}});
+            {{"reads", reads}, {"readers", static_cast<std::int64_t>(readers_.entries().size())}});
 }
 
 bool reading_role::awaits_word() const {
--- a/src/cell_host/reading_role.h
+++ b/src/cell_host/reading_role.h
@@ -17,7 +17,7 @@
     bool reads() const { return reads_; }
     /// Whether a coordinator is about to tell this host its part: nothing is loaded meanwhile.
     bool awaits_word() const;
-    const reader_list& readers() const { return readers_; }
+    const replica_list& readers() const { return readers_; }
     /// The coordinator's word.
     void take(const offer_reply& reply);
     /// `vacant`: the log shows no coordinator.
@@ -36,7 +36,7 @@
     /// When a coordinator first replied, and whether one has told this host its part.
     std::optional<instant> coordinator_heard_at_;
     bool told_ = false;
-    reader_list readers_;
+    replica_list readers_;
     std::optional<instant> vacant_since_;
     std::optional<instant> unanswered_since_;
     /// Reads until then, whatever it is told.
--- a/src/link/link_session.h
+++ b/src/link/relay_session.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "figwinch/link/link_server.h"
+#include "figwinch/link/relay_server.h"
 #include "link.pb.h"
 
 #include <absl/container/flat_hash_map.h>
@@ -11,8 +11,8 @@
 namespace figwinch {
 
 /// A relay's end of one session with a coordinator. It ends when another session begins; workers'
-/// answers that arrive later are dropped. Owned by `link_server`.
-class link_server::session : public std::enable_shared_from_this<session> {
+/// answers that arrive later are dropped. Owned by `relay_server`.
+class relay_server::session : public std::enable_shared_from_this<session> {
 public:
     session(const clock& time, worker_orders& orders, std::string name, lease_epoch epoch)
         : time_(time), orders_(orders), name_(std::move(name)), epoch_(epoch) {}
@@ -20,12 +20,12 @@
     const std::string& name() const { return name_; }
     lease_epoch epoch() const { return epoch_; }
     /// Whether `exchange` is the next one of this session.
-    bool continues(const pb::LinkExchange& exchange) const {
-        return exchange.session() == name_ && exchange.number() == exchanges_ + 1;
+    bool is_next(const pb::LinkExchange& exchange) const {
+        return exchange.session() == name_ && exchange.number() == last_exchange_ + 1;
     }
-    void take(const pb::LinkExchange& exchange);
+    void apply(const pb::LinkExchange& exchange);
     /// Returns and clears the results collected since the last call.
-    pb::LinkReply take_results();
+    pb::LinkReply drain_results();
 
 private:
     struct worker {
@@ -34,24 +34,24 @@
         absl::flat_hash_set<std::uint64_t> known_runs;
     };
 
-    void take_worker(const pb::LinkWorker& message);
-    void take_payload(const pb::LinkPayload& message);
-    void pass_on(const pb::LinkOrder& order);
+    void add_worker(const pb::LinkWorker& message);
+    void add_payload(const pb::LinkPayload& message);
+    void forward(const pb::LinkOrder& order);
     void start(worker& to, const pb::LinkOrder& order);
     void stop(const worker& to, const pb::LinkOrder& order);
     void pace(const worker& to, const pb::LinkOrder& order);
     void hold(const worker& to, const pb::LinkOrder& order);
     void forget(const worker& to, const pb::LinkOrder& order);
-    worker_orders::answer_handler answer_to(const pb::LinkOrder& order);
+    worker_orders::answer_handler result_handler(const pb::LinkOrder& order);
     void add_report(const pb::LinkOrder& order, order_outcome outcome, const worker_report& report);
-    static void put_running(worker& of, const worker_report& report, bool names,
-                            pb::LinkReport& message);
+    static void fill_running(worker& reporter, const worker_report& report, bool names,
+                             pb::LinkReport& message);
 
     const clock& time_;
     worker_orders& orders_;
     std::string name_;
     lease_epoch epoch_;
-    std::uint64_t exchanges_ = 0;
+    std::uint64_t last_exchange_ = 0;
     absl::flat_hash_map<std::uint32_t, worker> workers_;
     absl::flat_hash_map<std::uint64_t, std::string> payloads_;
     /// Numbers of the cached payloads, oldest first.
--- a/tests/cell_host/peer_jobs_test.cpp
+++ b/tests/cell_host/peer_jobs_test.cpp
@@ -91,10 +91,10 @@
 public:
     void setUp() override {
         offer_reply reply;
-        reply.part = reading_part::asker;
-        reply.readers = reader_list({{"a:1", data_centre_id("a")},
-                                     {"b:1", data_centre_id("b")},
-                                     {"b:2", data_centre_id("b")}});
+        reply.mode = read_mode::forwarding;
+        reply.replicas = replica_list({{"a:1", data_centre_id("a")},
+                                       {"b:1", data_centre_id("b")},
+                                       {"b:2", data_centre_id("b")}});
         role_.take(reply);
         for (const char* const address : {"a:1", "b:1", "b:2"})
             add_reader(address);
--- a/tests/cell_host/reading_role_test.cpp
+++ b/tests/cell_host/reading_role_test.cpp
@@ -24,11 +24,11 @@
     manual_clock time_;
     reading_role role_{time_, incarnation_id("host-1#1")};
 
-    static offer_reply told(reading_part part) {
+    static offer_reply told(read_mode mode) {
         offer_reply reply;
-        reply.part = part;
-        reply.coordinates = true;
-        reply.readers = reader_list({{"a:1", data_centre_id("a")}});
+        reply.mode = mode;
+        reply.from_coordinator = true;
+        reply.replicas = replica_list({{"a:1", data_centre_id("a")}});
         return reply;
     }
     void run_for(reading_role& role, duration span, bool vacant) {
@@ -41,16 +41,16 @@
 public:
     void a_host_reads_until_it_is_told() {
         CPPUNIT_ASSERT(role_.reads());
-        role_.take(told(reading_part::undecided));
+        role_.take(told(read_mode::undecided));
         CPPUNIT_ASSERT(role_.reads());
-        role_.take(told(reading_part::asker));
+        role_.take(told(read_mode::forwarding));
         CPPUNIT_ASSERT(!role_.reads());
-        role_.take(told(reading_part::reader));
+        role_.take(told(read_mode::replica));
         CPPUNIT_ASSERT(role_.reads());
     }
     /// Guards against a cell in which nobody can follow a coordinator, as all that read are lost.
     void a_host_without_a_coordinator_reads() {
-        role_.take(told(reading_part::asker));
+        role_.take(told(read_mode::forwarding));
         run_for(role_, seconds(20), false);
         CPPUNIT_ASSERT(!role_.reads());
         run_for(role_, seconds(1), true);
@@ -63,7 +63,7 @@
         std::set<int> begins;
         for (int host = 0; host < 20; ++host) {
             reading_role role(time_, incarnation_id("host-" + std::to_string(host) + "#1"));
-            role.take(told(reading_part::asker));
+            role.take(told(read_mode::forwarding));
             int turns = 0;
             for (; !role.reads(); ++turns)
                 run_for(role, milliseconds(100), true);
@@ -72,7 +72,7 @@
         CPPUNIT_ASSERT(begins.size() > 10);
     }
     void a_host_whose_readers_dont_answer_reads() {
-        role_.take(told(reading_part::asker));
+        role_.take(told(read_mode::forwarding));
         role_.note_unanswered();
         run_for(role_, seconds(1), false);
         role_.note_answered();
@@ -82,16 +82,16 @@
         run_for(role_, seconds(6), false);
         CPPUNIT_ASSERT(role_.reads());
         // A coordinator that reaches the readers doesn't know that this host doesn't.
-        role_.take(told(reading_part::asker));
+        role_.take(told(read_mode::forwarding));
         CPPUNIT_ASSERT(role_.reads());
         run_for(role_, seconds(10), false);
-        role_.take(told(reading_part::asker));
+        role_.take(told(read_mode::forwarding));
         CPPUNIT_ASSERT(!role_.reads());
     }
     /// Guards against hosts that load after a restart of all and are told to drop it.
     void a_host_that_a_coordinator_is_about_to_tell_waits() {
         CPPUNIT_ASSERT(!role_.awaits_word());
-        role_.take(told(reading_part::undecided));
+        role_.take(told(read_mode::undecided));
         CPPUNIT_ASSERT(role_.awaits_word());
         run_for(role_, seconds(3), false);
         CPPUNIT_ASSERT(!role_.awaits_word());
--- a/tests/link/fake_peers.h
+++ b/tests/link/fake_peers.h
@@ -10,7 +10,7 @@
 namespace figwinch {
 
 /// Simulates the other hosts of a cell, by bus address. Requests wait until a test delivers them.
-class fake_peers final : public peer_asker {
+class fake_peers final : public peer_client {
 public:
     /// Computes a host's reply to a request. A host without an entry does not reply.
     std::map<std::string, std::function<std::string(std::string_view)>> hosts;
--- a/tests/link/fake_workers.h
+++ b/tests/link/fake_workers.h
@@ -12,38 +12,38 @@
 /// orders by calling `done`.
 class fake_workers final : public worker_orders {
 public:
-    struct noted_start {
+    struct recorded_start {
         worker_id worker;
         start_order order;
         answer_handler done;
     };
-    struct noted_hold {
+    struct recorded_hold {
         worker_id worker;
         hold_order order;
         hold_handler done;
     };
 
-    std::vector<noted_start> starts;
-    std::vector<noted_hold> holds;
+    std::vector<recorded_start> starts;
+    std::vector<recorded_hold> holds;
     std::vector<worker_id> stops;
     std::vector<int> paces;
     std::vector<worker_id> forgotten;
 
-    void start(const worker_listing& where, const start_order& order,
+    void start(const worker_listing& target, const start_order& order,
                answer_handler done) override {
-        starts.push_back({where.id, order, std::move(done)});
+        starts.push_back({target.id, order, std::move(done)});
     }
-    void stop(const worker_listing& where, const std::string&, run_number, lease_epoch,
+    void stop(const worker_listing& target, const std::string&, run_number, lease_epoch,
               answer_handler done) override {
-        stops.push_back(where.id);
+        stops.push_back(target.id);
         done({order_outcome::done, 7});
     }
     void pace(const worker_listing&, const pace_order& order, answer_handler done) override {
         paces.push_back(order.percent);
         done({order_outcome::refused, std::nullopt});
     }
-    void hold(const worker_listing& where, const hold_order& order, hold_handler done) override {
-        holds.push_back({where.id, order, std::move(done)});
+    void hold(const worker_listing& target, const hold_order& order, hold_handler done) override {
+        holds.push_back({target.id, order, std::move(done)});
     }
     void forget(const worker_id& worker) override { forgotten.push_back(worker); }
 };
--- a/tests/link/linked_orders_test.cpp
+++ b/tests/link/order_router_test.cpp
@@ -12,40 +12,40 @@
 using std::chrono::milliseconds;
 
 /// Twenty workers in two data centres and a coordinator that can call ten workers directly.
-class linked_orders_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(linked_orders_test);
+class order_router_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(order_router_test);
     CPPUNIT_TEST(a_small_cell_is_called_directly);
-    CPPUNIT_TEST(hosts_of_a_workers_data_centre_pass_its_orders_on);
-    CPPUNIT_TEST(no_more_hosts_are_used_than_carry_the_workers);
-    CPPUNIT_TEST(workers_of_a_host_that_is_silent_go_to_others);
-    CPPUNIT_TEST(workers_of_a_host_that_reaches_none_go_to_others);
-    CPPUNIT_TEST(workers_of_a_host_that_leaves_go_to_others_at_once);
-    CPPUNIT_TEST(a_restarted_host_is_used_anew);
+    CPPUNIT_TEST(hosts_of_a_workers_data_centre_relay_its_orders);
+    CPPUNIT_TEST(no_more_relays_are_used_than_the_workers_need);
+    CPPUNIT_TEST(workers_of_an_unresponsive_relay_go_to_others);
+    CPPUNIT_TEST(workers_of_a_relay_that_reaches_none_go_to_others);
+    CPPUNIT_TEST(workers_of_a_stopping_relay_go_to_others_at_once);
+    CPPUNIT_TEST(a_restarted_relay_gets_a_new_session);
     CPPUNIT_TEST_SUITE_END();
 
     struct host {
         fake_workers workers;
-        std::unique_ptr<link_server> server;
+        std::unique_ptr<relay_server> server;
     };
 
     manual_clock time_;
     fake_workers direct_;
     fake_peers peers_;
     std::map<std::string, host> hosts_;
-    linked_orders orders_{{time_, direct_, peers_}, "c#1/5", lease_epoch(5), 10};
+    order_router orders_{{time_, direct_, peers_}, "c#1/5", lease_epoch(5), 10};
     std::vector<order_outcome> held_;
 
     void add_host(const std::string& address) {
         host& made = hosts_[address];
-        made.server = std::make_unique<link_server>(time_, made.workers);
+        made.server = std::make_unique<relay_server>(time_, made.workers);
         peers_.hosts[address] = [&made](std::string_view body) {
-            return made.server->exchange(body);
+            return made.server->handle_exchange(body);
         };
     }
-    void offer(const std::string& address, std::uint32_t carries, bool leaving = false,
-               const std::string& life = "1") {
-        orders_.take_offer({incarnation_id(address + "#" + life), address,
-                            data_centre_id(address.substr(0, 1)), carries, leaving});
+    void offer(const std::string& address, std::uint32_t capacity, bool leaving = false,
+               const std::string& incarnation = "1") {
+        orders_.apply_offer({incarnation_id(address + "#" + incarnation), address,
+                             data_centre_id(address.substr(0, 1)), capacity, leaving});
     }
     void hold(int workers) {
         for (int index = 0; index < workers; ++index)
@@ -53,7 +53,7 @@
                 listing_of(absl::StrCat("w", index), index % 2 == 0 ? "a" : "b"), {},
                 [this](order_outcome outcome, const worker_report&) { held_.push_back(outcome); });
     }
-    void turn() {
+    void step() {
         time_.advance(milliseconds(25));
         orders_.tick();
         peers_.deliver();
@@ -62,12 +62,12 @@
         return hosts_.at(address).workers.holds.size();
     }
     void answer_holds(const std::string& address, order_outcome outcome) {
-        for (fake_workers::noted_hold& one : hosts_.at(address).workers.holds)
+        for (fake_workers::recorded_hold& one : hosts_.at(address).workers.holds)
             if (const auto done = std::exchange(one.done, nullptr))
                 done(outcome, {});
     }
     /// Adds two hosts per data centre, which become relays once the workers are known.
-    void begin() {
+    void start_relaying() {
         for (const char* const address : {"a:1", "a:2", "b:1", "b:2"}) {
             add_host(address);
             offer(address, 100);
@@ -76,8 +76,8 @@
         time_.advance(milliseconds(600));
         for (const char* const address : {"a:1", "a:2", "b:1", "b:2"})
             offer(address, 100);
-        turn();
-        turn();
+        step();
+        step();
     }
 
 public:
@@ -87,105 +87,105 @@
         offer("a:1", 100);
         hold(10);
         time_.advance(milliseconds(600));
-        turn();
+        step();
         hold(10);
-        turn();
+        step();
         CPPUNIT_ASSERT_EQUAL(std::size_t{20}, direct_.holds.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, orders_.lanes());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, orders_.relay_count());
     }
     /// Guards against a coordinator that calls more workers directly than its CPU and bandwidth
     /// allow.
-    void hosts_of_a_workers_data_centre_pass_its_orders_on() {
-        begin();
+    void hosts_of_a_workers_data_centre_relay_its_orders() {
+        start_relaying();
         const std::size_t before = direct_.holds.size();
         hold(20);
-        turn();
+        step();
         CPPUNIT_ASSERT_EQUAL(before, direct_.holds.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{10}, held_by("a:1") + held_by("a:2"));
         CPPUNIT_ASSERT(held_by("a:1") > 0 && held_by("a:2") > 0);
         CPPUNIT_ASSERT_EQUAL(std::size_t{10}, held_by("b:1") + held_by("b:2"));
     }
     /// Guards against using every host of a large cell as a relay.
-    void no_more_hosts_are_used_than_carry_the_workers() {
-        begin();
+    void no_more_relays_are_used_than_the_workers_need() {
+        start_relaying();
         for (int more = 3; more < 30; ++more)
             offer(absl::StrCat("a:", more), 99);
         time_.advance(milliseconds(600));
         for (const char* const address : {"a:1", "a:2", "b:1", "b:2"})
             offer(address, 100);
-        turn();
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, orders_.lanes());
+        step();
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, orders_.relay_count());
     }
     /// Guards against workers' leases that expire because their relay does not respond any more.
-    void workers_of_a_host_that_is_silent_go_to_others() {
-        begin();
-        turn();
+    void workers_of_an_unresponsive_relay_go_to_others() {
+        start_relaying();
+        step();
         hold(20);
-        turn();
+        step();
         const std::size_t lost = held_by("a:1");
         peers_.hosts.erase("a:1");
-        turn();
-        turn();
+        step();
+        step();
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t(lost),
                              std::ranges::count(held_, order_outcome::unknown));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, orders_.lanes());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, orders_.relay_count());
         const std::size_t before = held_by("a:2");
         hold(20);
-        turn();
+        step();
         CPPUNIT_ASSERT_EQUAL(before + 10, held_by("a:2"));
     }
     /// Guards against workers' leases that expire because their relay answers the coordinator but
     /// cannot reach the workers.
-    void workers_of_a_host_that_reaches_none_go_to_others() {
-        begin();
+    void workers_of_a_relay_that_reaches_none_go_to_others() {
+        start_relaying();
         constexpr int turns_a_second = 40;
         for (int count = 0; count < turns_a_second; ++count) {
             if (count % 10 == 0)
                 hold(20);
-            turn();
+            step();
             answer_holds("a:1", order_outcome::unknown);
             for (const char* const address : {"a:2", "b:1", "b:2"})
                 answer_holds(address, order_outcome::done);
         }
         const std::size_t before = held_by("a:2");
         hold(20);
-        turn();
+        step();
         CPPUNIT_ASSERT_EQUAL(before + 10, held_by("a:2"));
     }
     /// Guards against losing orders in a planned restart of a relay.
-    void workers_of_a_host_that_leaves_go_to_others_at_once() {
-        begin();
-        turn();
+    void workers_of_a_stopping_relay_go_to_others_at_once() {
+        start_relaying();
+        step();
         hold(20);
-        turn();
+        step();
         const std::size_t open = held_by("a:1");
         offer("a:1", 100, true);
-        turn();
+        step();
         hold(20);
-        turn();
+        step();
         CPPUNIT_ASSERT_EQUAL(open, held_by("a:1"));
-        for (const fake_workers::noted_hold& one : hosts_.at("a:1").workers.holds)
+        for (const fake_workers::recorded_hold& one : hosts_.at("a:1").workers.holds)
             one.done(order_outcome::done, {});
-        turn();
+        step();
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t(open), std::ranges::count(held_, order_outcome::done));
     }
     /// Guards against sending orders to a restarted relay process, which does not know the session.
-    void a_restarted_host_is_used_anew() {
-        begin();
+    void a_restarted_relay_gets_a_new_session() {
+        start_relaying();
         hold(20);
-        turn();
+        step();
         add_host("a:1");
         offer("a:1", 100, false, "2");
-        turn();
-        turn();
+        step();
+        step();
         hold(20);
-        turn();
+        step();
         CPPUNIT_ASSERT(held_by("a:1") > 0);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, orders_.lanes());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, orders_.relay_count());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(linked_orders_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(order_router_test);
 
 } // namespace
 } // namespace figwinch
--- a/tests/link/link_lane_test.cpp
+++ b/tests/link/relay_client_test.cpp
@@ -11,38 +11,38 @@
 
 using std::chrono::milliseconds;
 
-/// Both ends of one relay session: a coordinator's `link_lane` and the relay's `link_server`.
-class link_lane_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(link_lane_test);
+/// Both ends of one relay session: a coordinator's `relay_client` and the relay's `relay_server`.
+class relay_client_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(relay_client_test);
     CPPUNIT_TEST(orders_reach_their_workers_and_answers_come_back);
-    CPPUNIT_TEST(a_start_that_reached_one_life_only_is_told_as_that);
-    CPPUNIT_TEST(a_lost_lane_leaves_handed_over_orders_unknown);
-    CPPUNIT_TEST(a_payload_is_handed_over_once_a_job);
-    CPPUNIT_TEST(a_payload_that_both_ends_forgot_is_handed_over_again);
+    CPPUNIT_TEST(a_start_that_reached_one_incarnation_only_is_reported_as_such);
+    CPPUNIT_TEST(a_lost_session_leaves_sent_orders_unknown);
+    CPPUNIT_TEST(a_payload_is_sent_once_per_job);
+    CPPUNIT_TEST(an_evicted_payload_is_sent_again);
     CPPUNIT_TEST(known_runs_arent_named);
     CPPUNIT_TEST(runs_that_share_a_number_are_named);
-    CPPUNIT_TEST(ends_that_are_known_arent_told_again);
+    CPPUNIT_TEST(known_ends_arent_reported_again);
     CPPUNIT_TEST(a_start_isnt_sent_late);
-    CPPUNIT_TEST(a_host_that_was_restarted_ends_the_lane);
+    CPPUNIT_TEST(a_host_that_was_restarted_ends_the_session);
     CPPUNIT_TEST_SUITE_END();
 
     manual_clock time_;
     fake_workers workers_;
     fake_peers peers_;
-    link_server server_{time_, workers_};
-    link_lane lane_{time_, peers_, "b:1", "host#1/5/1", lease_epoch(5)};
+    relay_server server_{time_, workers_};
+    relay_client client_{time_, peers_, "b:1", "host#1/5/1", lease_epoch(5)};
     const worker_listing worker_ = listing_of("w1");
 
     void exchange() {
         time_.advance(milliseconds(25));
-        lane_.tick();
+        client_.tick();
         peers_.deliver();
     }
     /// Sends a lease renewal that the worker answers with `report`; returns the report that reaches
     /// the coordinator.
-    worker_report told(const worker_report& report, const hold_order& order) {
+    worker_report renew_lease(const worker_report& report, const hold_order& order) {
         worker_report seen;
-        lane_.hold(worker_, order, [&](order_outcome outcome, const worker_report& answer) {
+        client_.hold(worker_, order, [&](order_outcome outcome, const worker_report& answer) {
             CPPUNIT_ASSERT(outcome == order_outcome::done);
             seen = answer;
         });
@@ -54,17 +54,19 @@
 
 public:
     void setUp() override {
-        peers_.hosts["b:1"] = [this](std::string_view body) { return server_.exchange(body); };
+        peers_.hosts["b:1"] = [this](std::string_view body) {
+            return server_.handle_exchange(body);
+        };
     }
     void orders_reach_their_workers_and_answers_come_back() {
         std::vector<order_outcome> outcomes;
-        const auto note = [&](const order_answer& answer) { outcomes.push_back(answer.outcome); };
+        const auto record = [&](const order_answer& answer) { outcomes.push_back(answer.outcome); };
         start_order start = start_of("job1.0.0.3", 9);
         start.checkpoint = "c";
         start.ticket = "t";
-        lane_.start(worker_, start, note);
-        lane_.stop(worker_, "job1.0.0.3", run_number(9), note);
-        lane_.pace(worker_, {"job1.0.0.3", run_number(9), 40, lease_epoch(5)}, note);
+        client_.start(worker_, start, record);
+        client_.stop(worker_, "job1.0.0.3", run_number(9), record);
+        client_.pace(worker_, {"job1.0.0.3", run_number(9), 40, lease_epoch(5)}, record);
         exchange();
         const start_order& sent = workers_.starts.at(0).order;
         CPPUNIT_ASSERT_EQUAL(std::string("payload of job1"), sent.payload);
@@ -78,17 +80,17 @@
         exchange();
         CPPUNIT_ASSERT((outcomes == std::vector{order_outcome::done, order_outcome::refused,
                                                 order_outcome::no_room}));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, lane_.open());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, client_.pending_count());
     }
     /// Guards against the relay losing `may_reach_other_life`: the coordinator would wait for a
     /// lost worker's task as if a later incarnation of the worker might still have got the start.
-    void a_start_that_reached_one_life_only_is_told_as_that() {
+    void a_start_that_reached_one_incarnation_only_is_reported_as_such() {
         constexpr std::uint64_t born_ms = 1'750'000'000'000;
         std::vector<bool> others;
         start_order start = start_of("job1.0.0.3", 9);
         start.born_ms = born_ms;
         for (int count = 0; count < 2; ++count)
-            lane_.start(worker_, start, [&](const order_answer& answer) {
+            client_.start(worker_, start, [&](const order_answer& answer) {
                 others.push_back(answer.may_reach_other_life);
             });
         exchange();
@@ -100,29 +102,29 @@
     }
     /// Guards against starting a task twice: an order sent to a relay that became unreachable may
     /// still be executed, so it must end as `unknown`, not as `not_sent`.
-    void a_lost_lane_leaves_handed_over_orders_unknown() {
+    void a_lost_session_leaves_sent_orders_unknown() {
         std::vector<order_outcome> outcomes;
-        const auto note = [&](const order_answer& answer) { outcomes.push_back(answer.outcome); };
-        lane_.start(worker_, start_of("job1.0.0.0", 1), note);
+        const auto record = [&](const order_answer& answer) { outcomes.push_back(answer.outcome); };
+        client_.start(worker_, start_of("job1.0.0.0", 1), record);
         exchange();
         peers_.hosts.clear();
-        lane_.start(worker_, start_of("job1.0.0.1", 2), note);
+        client_.start(worker_, start_of("job1.0.0.1", 2), record);
         time_.advance(milliseconds(25));
-        lane_.tick();
-        lane_.start(worker_, start_of("job1.0.0.2", 3), note);
+        client_.tick();
+        client_.start(worker_, start_of("job1.0.0.2", 3), record);
         peers_.deliver();
-        CPPUNIT_ASSERT(lane_.is_lost());
-        lane_.end_open();
+        CPPUNIT_ASSERT(client_.is_lost());
+        client_.complete_pending();
         std::ranges::sort(outcomes);
         CPPUNIT_ASSERT((outcomes == std::vector{order_outcome::not_sent, order_outcome::unknown,
                                                 order_outcome::unknown}));
     }
     /// Guards against wasting bandwidth by sending a job's payload again for each of its tasks.
-    void a_payload_is_handed_over_once_a_job() {
+    void a_payload_is_sent_once_per_job() {
         start_order start = start_of("job1.0.0.0", 1);
         start.payload = std::string(4000, 's');
         for (int index = 0; index < 40; ++index)
-            lane_.start(worker_, start, [](const order_answer&) {});
+            client_.start(worker_, start, [](const order_answer&) {});
         exchange();
         CPPUNIT_ASSERT_EQUAL(std::size_t{40}, workers_.starts.size());
         constexpr std::size_t other_bytes = 2400;
@@ -131,15 +133,15 @@
     }
     /// Guards against starts with a wrong or missing payload when the two ends evict cached
     /// payloads differently.
-    void a_payload_that_both_ends_forgot_is_handed_over_again() {
+    void an_evicted_payload_is_sent_again() {
         for (int job = 0; job < 1200; ++job)
-            lane_.start(worker_, start_of(absl::StrCat("job", job, ".0.0.0"), 1),
-                        [](const order_answer&) {});
+            client_.start(worker_, start_of(absl::StrCat("job", job, ".0.0.0"), 1),
+                          [](const order_answer&) {});
         for (int job = 0; job < 1200; job += 100)
-            lane_.start(worker_, start_of(absl::StrCat("job", job, ".0.0.1"), 2),
-                        [](const order_answer&) {});
+            client_.start(worker_, start_of(absl::StrCat("job", job, ".0.0.1"), 2),
+                          [](const order_answer&) {});
         exchange();
-        for (const fake_workers::noted_start& start : workers_.starts)
+        for (const fake_workers::recorded_start& start : workers_.starts)
             CPPUNIT_ASSERT_EQUAL("payload of " +
                                      start.order.task.substr(0, start.order.task.find('.')),
                                  start.order.payload);
@@ -147,21 +149,21 @@
     /// Guards against reports too large for a low-bandwidth link, by omitting task names that the
     /// coordinator knows, and against omitting names that it does not know or has asked for.
     void known_runs_arent_named() {
-        lane_.start(worker_, start_of("job1.0.0.0", 1), [](const order_answer&) {});
+        client_.start(worker_, start_of("job1.0.0.0", 1), [](const order_answer&) {});
         worker_report report;
         report.running = {{"job1.0.0.0", run_number(1), "", 5, 640},
                           {"job2.0.0.0", run_number(2), "c2", 9, -3}};
-        worker_report seen = told(report, {});
+        worker_report seen = renew_lease(report, {});
         CPPUNIT_ASSERT_EQUAL(std::string(), seen.running.at(0).task);
         CPPUNIT_ASSERT_EQUAL(std::string("job2.0.0.0"), seen.running.at(1).task);
         CPPUNIT_ASSERT_EQUAL(std::string("c2"), seen.running.at(1).checkpoint);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{-3}, seen.running.at(1).recent);
         CPPUNIT_ASSERT_EQUAL(9, seen.running.at(1).percent);
-        seen = told(report, {});
+        seen = renew_lease(report, {});
         CPPUNIT_ASSERT_EQUAL(std::string(), seen.running.at(1).task);
         hold_order named;
         named.names = true;
-        seen = told(report, named);
+        seen = renew_lease(report, named);
         CPPUNIT_ASSERT_EQUAL(std::string("job1.0.0.0"), seen.running.at(0).task);
     }
     /// Guards against mixing up members of a gang, whose runs share one run number.
@@ -170,14 +172,14 @@
         report.running = {{"job1.0.0.0", run_number(1), "", 5, 640},
                           {"job1.0.0.1", run_number(1), "", 6, 640}};
         for (int time = 0; time < 2; ++time) {
-            const worker_report seen = told(report, {});
+            const worker_report seen = renew_lease(report, {});
             CPPUNIT_ASSERT_EQUAL(std::string("job1.0.0.0"), seen.running.at(0).task);
             CPPUNIT_ASSERT_EQUAL(std::string("job1.0.0.1"), seen.running.at(1).task);
         }
     }
     /// Guards against taking the ends of a worker's new incarnation for those of the previous one:
     /// they have the same numbers, and would be left out of the report.
-    void ends_that_are_known_arent_told_again() {
+    void known_ends_arent_reported_again() {
         worker_report report;
         report.born_ms = 100;
         report.ended = {{1, "job1.0.0.0", run_number(1), run_end::done, ""},
@@ -185,18 +187,18 @@
         hold_order order;
         order.seen = 1;
         order.born_ms = 100;
-        worker_report seen = told(report, order);
+        worker_report seen = renew_lease(report, order);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, seen.ended.size());
         CPPUNIT_ASSERT(seen.ended.front().how == run_end::failed);
         CPPUNIT_ASSERT_EQUAL(std::string("job1.0.0.1"), seen.ended.front().task);
         order.born_ms = 99;
-        seen = told(report, order);
+        seen = renew_lease(report, order);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, seen.ended.size());
     }
     /// Guards against a start order that waits on a saturated link of the relay and is sent
     /// although a notice about the worker has arrived in the meantime.
     void a_start_isnt_sent_late() {
-        lane_.start(worker_, start_of("job1.0.0.0", 1), [](const order_answer&) {});
+        client_.start(worker_, start_of("job1.0.0.0", 1), [](const order_answer&) {});
         exchange();
         const start_order& sent = workers_.starts.at(0).order;
         CPPUNIT_ASSERT(sent.still_wanted());
@@ -204,17 +206,19 @@
         CPPUNIT_ASSERT(!sent.still_wanted());
     }
     /// Guards against waiting for answers from a relay process that has been replaced by another.
-    void a_host_that_was_restarted_ends_the_lane() {
-        lane_.start(worker_, start_of("job1.0.0.0", 1), [](const order_answer&) {});
+    void a_host_that_was_restarted_ends_the_session() {
+        client_.start(worker_, start_of("job1.0.0.0", 1), [](const order_answer&) {});
         exchange();
-        link_server other(time_, workers_);
-        peers_.hosts["b:1"] = [&other](std::string_view body) { return other.exchange(body); };
+        relay_server other(time_, workers_);
+        peers_.hosts["b:1"] = [&other](std::string_view body) {
+            return other.handle_exchange(body);
+        };
         exchange();
-        CPPUNIT_ASSERT(lane_.is_lost());
+        CPPUNIT_ASSERT(client_.is_lost());
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(link_lane_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(relay_client_test);
 
 } // namespace
 } // namespace figwinch
--- a/tests/link/link_server_test.cpp
+++ b/tests/link/relay_server_test.cpp
@@ -8,9 +8,9 @@
 namespace figwinch {
 namespace {
 
-class link_server_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(link_server_test);
-    CPPUNIT_TEST(a_coordinator_that_was_followed_gets_nothing_passed_on);
+class relay_server_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(relay_server_test);
+    CPPUNIT_TEST(orders_of_a_deposed_coordinator_arent_forwarded);
     CPPUNIT_TEST(an_exchange_that_was_missed_ends_the_session);
     CPPUNIT_TEST(bytes_that_are_no_exchange_are_refused);
     CPPUNIT_TEST(answers_of_an_earlier_session_are_dropped);
@@ -18,7 +18,7 @@
 
     manual_clock time_;
     fake_workers workers_;
-    link_server server_{time_, workers_};
+    relay_server server_{time_, workers_};
 
     static pb::LinkExchange make(const std::string& session, std::uint64_t number,
                                  std::uint64_t epoch) {
@@ -37,14 +37,15 @@
     }
     pb::LinkReply reply_to(const pb::LinkExchange& exchange) {
         pb::LinkReply reply;
-        CPPUNIT_ASSERT(reply.ParseFromString(server_.exchange(exchange.SerializeAsString())));
+        CPPUNIT_ASSERT(
+            reply.ParseFromString(server_.handle_exchange(exchange.SerializeAsString())));
         return reply;
     }
 
 public:
     /// Guards against a relay that forwards orders of a deposed coordinator beside those of its
     /// successor.
-    void a_coordinator_that_was_followed_gets_nothing_passed_on() {
+    void orders_of_a_deposed_coordinator_arent_forwarded() {
         CPPUNIT_ASSERT(reply_to(make("old", 1, 4)).taken());
         CPPUNIT_ASSERT(reply_to(make("new", 1, 5)).taken());
         CPPUNIT_ASSERT(!reply_to(make("old", 2, 4)).taken());
@@ -62,7 +63,7 @@
     void bytes_that_are_no_exchange_are_refused() {
         for (const std::string& bytes : {std::string(), std::string("\xff\xff\xff", 3)}) {
             pb::LinkReply reply;
-            CPPUNIT_ASSERT(reply.ParseFromString(server_.exchange(bytes)));
+            CPPUNIT_ASSERT(reply.ParseFromString(server_.handle_exchange(bytes)));
             CPPUNIT_ASSERT(!reply.taken());
         }
     }
@@ -77,7 +78,7 @@
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(link_server_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(relay_server_test);
 
 } // namespace
 } // namespace figwinch
