--- a/src/learning/job_suspicion.h
+++ b/src/learning/job_suspicion.h
@@ -6,10 +6,11 @@
 
 namespace figwinch {
 
-/// On how many different workers tasks of one job have failed without any success. Such a job says
-/// nothing about the workers that it fails on. Owned by `streak_failure_policy`.
+/// The workers on which tasks of one job have failed since the job's last success. Failures of a
+/// job that fails on several workers are weak evidence against any one of them. Owned by
+/// `streak_failure_policy`.
 struct job_suspicion {
-    /// Workers of failures since the last success, at most as many as make the job suspect.
+    /// Distinct workers; no more are added once there are enough to make the job suspect.
     std::vector<worker_id> failed_on;
 };
 
--- a/src/learning/lru_map.h
+++ b/src/learning/lru_map.h
@@ -8,14 +8,16 @@
 
 namespace figwinch {
 
-/// A hash map of at most `capacity` entries that drops the least recently touched one when a new
-/// one comes, so that ids that come and go for ever can't fill the memory of a daemon.
+/// A hash map of at most `capacity` entries. Inserting into a full map evicts the least recently
+/// touched entry, so that an endless series of new ids can't exhaust the memory of a
+/// long-running process.
 template <class Key, class Value>
 class lru_map {
 public:
     explicit lru_map(std::size_t capacity) : capacity_(capacity) {}
 
-    /// The entry, made when missing, as the most recently touched one.
+    /// Returns the entry, inserting a default one if missing, and marks it as the most recently
+    /// touched.
     Value& touch(const Key& key) {
         const auto found = index_.find(key);
         if (found != index_.end()) {
@@ -29,7 +31,7 @@
         return entries_.front().second;
     }
 
-    /// The entry without touching it; null when missing.
+    /// Returns the entry, or null if missing. Leaves the eviction order as it is.
     const Value* find(const Key& key) const {
         const auto found = index_.find(key);
         return found == index_.end() ? nullptr : &found->second->second;
--- a/src/learning/sampled_use.cpp
+++ b/src/learning/sampled_use.cpp
@@ -50,14 +50,15 @@
         return &samples_.emplace_back(sample{.task_hash = task_hash});
     sample& oldest = samples_[next_];
     const bool settled = is_settled(oldest);
-    // A task over the peak is sampled at once: its size has been too small already, and every
-    // further task of the template would be committed as small until it was looked at.
+    // A task whose use is above the peak is sampled at once: its committed size may be too small
+    // already, and further tasks of the template would be committed at that size until it is
+    // sampled.
     const bool over_peak =
         used.cpu_millis > peak_cpu_millis() || used.memory_mib > peak_memory_mib();
     if (!over_peak && !settled)
         return nullptr;
-    // A sample that gives way early leaves its peak to its successor: a task with a high use of
-    // processors must not make the window forget another's use of memory.
+    // A sample that is replaced before it has settled passes its peaks on to the new one: otherwise
+    // a task with high CPU use would drop the memory peak of the task that it replaces.
     sample successor = settled ? sample{} : oldest;
     successor.task_hash = task_hash;
     successor.reports = 0;
--- a/src/learning/sampled_use.h
+++ b/src/learning/sampled_use.h
@@ -7,18 +7,18 @@
 
 namespace figwinch {
 
-/// Peaks of the use of a few recent tasks of one customer and template. A task that is sampled
-/// stays until it has been watched for a while, so that its peak is not only its ramp-up. Owned
-/// by `window_size_estimator`. Units: thousandths of a core, mebibytes.
+/// Peak CPU and memory use of a window of recent tasks of one customer and template. A sampled task
+/// normally stays in the window until it has sent several reports, so that its peak covers more
+/// than its ramp-up. Owned by `window_size_estimator`. Units: thousandths of a core, mebibytes.
 class sampled_use {
 public:
-    /// How many recent tasks are sampled.
+    /// Number of recent tasks that are sampled.
     static constexpr std::size_t window = 16;
 
-    /// One lagging report of one task; the hash stands for its id.
+    /// Records one usage report of a task, which is identified by the hash of its id.
     void observe(std::uint64_t task_hash, const resources& used);
 
-    /// Distinct tasks seen, counted up to the size of the window.
+    /// Number of distinct tasks observed, at most `window`.
     int tasks_seen() const { return static_cast<int>(samples_.size()); }
     std::int64_t peak_cpu_millis() const;
     std::int64_t peak_memory_mib() const;
@@ -32,14 +32,17 @@
         std::uint32_t reports = 0;
     };
 
-    /// Reports after which a sampled task has shown its use and may give way to another.
+    /// Number of reports after which a sampled task may be replaced by another.
     static constexpr std::uint32_t settled_reports = 4;
-    /// Reports of other tasks without one of its own after which a sampled task has ended.
+    /// Number of reports of other tasks, without one of its own, after which a sampled task is
+    /// taken to have ended.
     static constexpr std::uint32_t unseen_reports = 64;
 
     sample* find(std::uint64_t task_hash);
-    /// Samples a task that is not sampled yet; null while every sample is still being watched.
+    /// Adds a task to the window. Returns null if the window is full, the oldest sample may not be
+    /// replaced yet, and the task's use is not above the peak.
     sample* admit(std::uint64_t task_hash, const resources& used);
+    /// Whether the sample has enough reports, or its task has ended, so that it may be replaced.
     bool is_settled(const sample& candidate) const;
 
     std::vector<sample> samples_;
--- a/src/learning/streak_failure_policy.cpp
+++ b/src/learning/streak_failure_policy.cpp
@@ -9,14 +9,17 @@
 constexpr std::size_t max_workers = 20'000;
 constexpr std::size_t max_tasks = 50'000;
 constexpr std::size_t max_jobs = 10'000;
-/// Different workers on which a job has to fail, without a success, to be suspect.
+/// Number of different workers on which a job must fail, without a success in between, to become
+/// suspect.
 constexpr std::size_t suspect_workers = 3;
-/// Failed jobs kept for one worker, and the most that a streak can be set to.
+/// Number of failed jobs kept for each worker. Limits `settings::worker_failures` to half of it,
+/// since failures of suspect jobs count half.
 constexpr std::size_t max_streak = 16;
-/// Workers kept for one task; what counted on a dropped one goes on counting.
+/// Number of workers kept for each task. Failures counted on a dropped worker remain in the task's
+/// total.
 constexpr std::size_t max_failures = 64;
 
-/// The job of a task `<job>/<index>`.
+/// Extracts the job id from a task id of the form `<job>/<index>`.
 job_id job_of(const task_id& task) {
     const std::string_view text = task.str();
     return job_id(text.substr(0, text.rfind('/')));
@@ -36,8 +39,9 @@
 
 void streak_failure_policy::note_failed(const worker_id& worker, const task_id& task,
                                         attempt_number attempt, const job_id& job, instant now) {
-    // A worker reports an end until it is acknowledged, which needs the log. During a trial the
-    // report of an earlier failure would count as the outcome, and each one double the quarantine.
+    // A worker repeats the report of a task's end until it is acknowledged, which requires a write
+    // to the log. Without this check, a repeated report of an earlier failure during a trial would
+    // count as the outcome of the trial and double the quarantine.
     const task_failures::failure* known = find_failure(task, worker);
     if (known != nullptr && attempt <= known->attempt)
         return;
@@ -66,8 +70,8 @@
     const worker_record* record = workers_.find(worker);
     if (record == nullptr)
         return;
-    // A task that was started before the worker went bad may still finish during the quarantine;
-    // only what was let through as a trial shows that new tasks run there.
+    // A task started before the worker became faulty may still succeed during the quarantine. Only
+    // a success during a trial shows that new tasks can run on the worker.
     if (record->quarantined && !record->on_trial)
         return;
     workers_.erase(worker);
@@ -84,8 +88,8 @@
         return true;
     if (now < record->quarantined_until)
         return false;
-    // A trial whose outcome never comes (its task was cancelled or lost) must not keep the worker
-    // out for ever: after as long again another task may try.
+    // A trial whose outcome is never reported (its task was cancelled or lost) must not keep the
+    // worker in quarantine for ever: another trial may start after one more quarantine time.
     return !record->on_trial || now >= record->trial_until;
 }
 
@@ -159,7 +163,8 @@
 void streak_failure_policy::note_trial_failed(worker_record& record, bool job_suspect,
                                               instant now) {
     record.on_trial = false;
-    // A job that fails everywhere proves nothing here: the next task may try at once.
+    // A failure of a suspect job is no evidence against the worker: another trial may start at
+    // once.
     if (job_suspect)
         return;
     record.quarantine = std::min(record.quarantine * 2, settings_.max_quarantine);
@@ -167,8 +172,9 @@
 }
 
 bool streak_failure_policy::streak_condemns(const worker_record& record) const {
-    // A suspect job counts half: a few jobs that fail everywhere must not empty the cluster, yet a
-    // bad worker that has made suspects of the jobs it failed must not go on failing new ones.
+    // A suspect job counts half. At full weight, a few jobs that fail on every worker would
+    // quarantine the whole cluster; at no weight, several faulty workers that fail the same jobs
+    // would make those jobs suspect, escape quarantine and go on to fail new jobs.
     int weight = 0;
     for (const job_id& job : record.failed_jobs)
         weight += is_suspect(job) ? 1 : 2;
@@ -176,8 +182,9 @@
 }
 
 void streak_failure_policy::release_wrongly_condemned() {
-    // Jobs that fail everywhere look like a bad worker to the first workers that they meet. Once
-    // they are known, the quarantine that rests on them alone has no ground.
+    // Jobs that fail on every worker are not suspect yet when they fail on their first workers, so
+    // these may be quarantined. Once the jobs are suspect, quarantines caused by their failures
+    // alone are lifted.
     workers_.for_each([this](const worker_id&, worker_record& record) {
         if (record.quarantined && !streak_condemns(record))
             record = worker_record{.failed_jobs = std::move(record.failed_jobs)};
--- a/src/learning/streak_failure_policy.h
+++ b/src/learning/streak_failure_policy.h
@@ -8,8 +8,9 @@
 
 namespace figwinch {
 
-/// Quarantines a worker after a streak of failures of different jobs. Jobs that are suspected of
-/// failing everywhere count half.
+/// Quarantines a worker after failures of several different jobs without a success in between.
+/// Failures of suspect jobs, which have failed on several workers since their last success, count
+/// half.
 class streak_failure_policy final : public failure_policy {
 public:
     explicit streak_failure_policy(const settings& with);
@@ -28,14 +29,16 @@
     const task_failures::failure* find_failure(const task_id& task, const worker_id& worker) const;
     void remember(const task_id& task, const worker_id& worker, attempt_number attempt,
                   bool counted);
-    /// Adds to the job's suspicion and says whether that has just made it suspect.
+    /// Records that the job failed on the worker. Returns whether this made the job suspect.
     bool suspect(const job_id& job, const worker_id& worker);
     bool is_suspect(const job_id& job) const;
     void note_trial_failed(worker_record& record, bool job_suspect, instant now);
+    /// Whether the failed jobs on record, weighted, suffice for a quarantine.
     bool streak_condemns(const worker_record& record) const;
+    /// Ends each quarantine whose failures no longer suffice because a job became suspect.
     void release_wrongly_condemned();
     void quarantine(const worker_id& worker, worker_record& record, instant now);
-    /// Takes back every failure counted against a task on this worker.
+    /// Stops counting all failures on this worker against the tasks that failed.
     void discount(const worker_id& worker);
 
     settings settings_;
--- a/src/learning/task_failures.h
+++ b/src/learning/task_failures.h
@@ -6,19 +6,20 @@
 
 namespace figwinch {
 
-/// Where one task has failed. Owned by `streak_failure_policy`.
+/// The failures of one task, by worker. Owned by `streak_failure_policy`.
 struct task_failures {
     struct failure {
         worker_id worker;
-        /// The newest attempt that failed here.
+        /// The latest attempt that failed on this worker.
         attempt_number attempt{};
+        /// Number of attempts that failed on this worker.
         int times = 0;
-        /// How many of them count; none once the worker is held to be the cause.
+        /// How many of these count against the task; reset to zero when the worker is quarantined.
         int counted = 0;
     };
     /// At most one entry for each worker.
     std::vector<failure> on_workers;
-    /// Counted failures of entries that were dropped.
+    /// Sum of `counted` of the entries that were dropped from `on_workers`.
     int counted_before = 0;
 };
 
--- a/src/learning/window_size_estimator.cpp
+++ b/src/learning/window_size_estimator.cpp
@@ -5,7 +5,7 @@
 namespace figwinch {
 namespace {
 
-/// What even an idle task is given, so that a size is never zero.
+/// The minimum committed for any task, so that a size is never zero.
 constexpr resources smallest{.cpu_millis = 10, .memory_mib = 16};
 
 resources at_least_smallest(resources size) {
@@ -27,8 +27,8 @@
 
 void window_size_estimator::observe(const customer_id& customer, const template_id& copied_from,
                                     const task_id& task, const resources& used) {
-    // Nothing measured yet: a report sent before the worker's first measurement says zero, and
-    // would count as a task that needs nothing.
+    // A report sent before the worker's first measurement has zero use. Recording it would count
+    // the task as one that needs no resources.
     if (used.cpu_millis <= 0 && used.memory_mib <= 0)
         return;
     if (copied_from.empty())
--- a/src/learning/window_size_estimator.h
+++ b/src/learning/window_size_estimator.h
@@ -6,8 +6,8 @@
 
 namespace figwinch {
 
-/// Learns from the peaks of a window of recent tasks per customer and template; the way chosen in
-/// docs/design/learning.md.
+/// Estimates the size from the peak use of a window of recent tasks of each (customer, template)
+/// pair. See docs/design/learning.md for the choice of this method.
 class window_size_estimator final : public size_estimator {
 public:
     explicit window_size_estimator(const settings& with);
--- a/tests/learning/failure_policy_test.cpp
+++ b/tests/learning/failure_policy_test.cpp
@@ -56,8 +56,8 @@
     }
     bool admit(const worker_id& at) { return policy_->admit(at, clock_.now()); }
 
-    // A worker's disk has gone: it fails all that it starts, at once, and so it is always free and
-    // draws the next task. Jobs would be failed for good that run anywhere else.
+    // A worker with a broken disk fails every task at once, so it is always free and gets the next
+    // task. Guards against jobs that use up their attempts there though they run elsewhere.
     void a_worker_that_fails_everything_is_quarantined() {
         fail(bad, 1);
         fail(bad, 2);
@@ -72,8 +72,8 @@
         }
     }
 
-    // A job crashes wherever it is started. It is tried on worker after worker; each of them is
-    // fine and must go on taking work, while the job reaches its limit and is failed.
+    // A job that crashes on every worker is retried on one after another. Guards against a
+    // quarantine of these healthy workers; the failures must count against the job's tasks.
     void a_job_that_fails_everywhere_empties_no_worker() {
         for (int at = 0; at < 10; ++at) {
             fail(worker(at), 7);
@@ -82,9 +82,9 @@
         CPPUNIT_ASSERT_EQUAL(10, policy_->counted_failures(task(7)));
     }
 
-    // Three broken jobs arrive together and go the same round: the first workers see failures of
-    // three different jobs and look bad. Once the jobs are known for what they are, those workers
-    // have to come back without waiting for a trial.
+    // Three broken jobs are tried on the same workers, so the first workers fail three different
+    // jobs and are quarantined. Guards against healthy workers that stay in quarantine until a
+    // trial although the jobs have become suspect.
     void jobs_that_fail_everywhere_together_empty_no_worker() {
         for (int at = 0; at < 10; ++at) {
             for (const int number : {1, 2, 3})
@@ -95,9 +95,9 @@
         CPPUNIT_ASSERT(policy_->counted_failures(task(1)) >= 3);
     }
 
-    // Three workers of one rack go bad together. Single-task jobs fail on all three and so look
-    // like jobs that fail everywhere. If those counted nothing, the rack would eat one job after
-    // another for ever.
+    // Three workers of one rack become faulty together. Single-task jobs fail on all three and
+    // become suspect. If failures of suspect jobs counted nothing, the three workers would never be
+    // quarantined and would fail one job after another.
     void a_bad_worker_cannot_hide_behind_the_jobs_it_made_suspect() {
         for (int number = 0; number < 6; ++number) {
             for (int at = 0; at < 3; ++at)
@@ -156,9 +156,9 @@
         CPPUNIT_ASSERT(admit(bad));
     }
 
-    // Placement looks at every worker for every task. Only the one that gets the task may be
-    // counted as on trial; and a worker whose quarantine is over must be among those that are
-    // looked at, or it never comes back.
+    // Placement queries every worker for every task. Guards against a trial that a query starts on
+    // a worker that gets no task, and against a worker that is never offered a trial after its
+    // quarantine time.
     void looking_counts_no_trial() {
         condemn();
         CPPUNIT_ASSERT(!policy_->would_admit(bad, clock_.now()));
@@ -169,8 +169,9 @@
         CPPUNIT_ASSERT(!policy_->would_admit(bad, clock_.now()));
     }
 
-    // The log is down, so the worker goes on reporting the failures that condemned it. They arrive
-    // during the trial; taken for its outcome they would double the quarantine again and again.
+    // While the log is unavailable, the worker repeats the reports of the failures that led to its
+    // quarantine. Guards against counting one that arrives during a trial as the trial's outcome,
+    // which would double the quarantine each time.
     void a_repeated_report_is_no_outcome_of_a_trial() {
         condemn();
         clock_.advance(std::chrono::minutes(1));
@@ -180,8 +181,8 @@
         CPPUNIT_ASSERT(!quarantined(bad));
     }
 
-    // The task that was let through is cancelled by its customer before it ends. Nobody reports
-    // an outcome, and the mended worker would stay out of work for ever.
+    // The trial task is cancelled by its customer, so its outcome is never reported. Guards against
+    // a repaired worker that stays in quarantine for ever.
     void a_trial_without_outcome_is_followed_by_another() {
         condemn();
         clock_.advance(std::chrono::minutes(1));
@@ -190,8 +191,8 @@
         CPPUNIT_ASSERT(admit(bad));
     }
 
-    // A long render that was started while the worker was well ends during the quarantine. That
-    // says nothing of what is started now; three more jobs would fail if it set the worker free.
+    // A long task started before the worker became faulty succeeds during the quarantine. Guards
+    // against ending the quarantine for it: three more jobs would fail before the next one.
     void an_old_task_that_finishes_does_not_end_the_quarantine() {
         condemn();
         policy_->note_succeeded(bad, task_id("old/0"), clock_.now());
@@ -205,7 +206,8 @@
         CPPUNIT_ASSERT(!policy_->failed_on(task(1), bad));
     }
 
-    // Guards against a task that runs on one worker again and again and never uses up its attempts.
+    // Guards against a task that is retried on one worker for ever because repeated failures there
+    // count as one and never use up its attempts.
     void each_attempt_on_one_worker_counts_once() {
         for (const std::uint64_t attempt : {1U, 2U, 2U, 1U, 3U})
             policy_->note_failed(bad, task(1), attempt_number(attempt), job(1), clock_.now());
@@ -218,7 +220,8 @@
         CPPUNIT_ASSERT_EQUAL(0, policy_->counted_failures(task(1)));
     }
 
-    // Guards against a job of up to 100 attempts that fails everywhere and is tried without end.
+    // Guards against endless retries of a job with up to 100 attempts that fails on every worker:
+    // the policy keeps fewer workers for each task, and failures on dropped ones must still count.
     void failures_on_many_workers_all_count() {
         for (int at = 0; at < 100; ++at)
             fail(worker(at), 7);
--- a/tests/learning/size_estimator_test.cpp
+++ b/tests/learning/size_estimator_test.cpp
@@ -47,8 +47,8 @@
                        (resources{.cpu_millis = 480, .memory_mib = 960, .accelerators = 1}));
     }
 
-    // Engineers copy a script that asks for ten times what the render takes. Nine tenths of each
-    // host would stand empty while renders queue, because nobody reads the limits again.
+    // Tasks submitted with a copied script declare ten times what they use. Guards against
+    // committing the declared size, which leaves nine tenths of each host idle while tasks queue.
     void a_size_copied_ten_times_too_large_comes_down() {
         run_tasks(20, {.cpu_millis = 400, .memory_mib = 819});
         CPPUNIT_ASSERT_EQUAL(std::int64_t{480}, commit().cpu_millis);
@@ -56,16 +56,17 @@
         CPPUNIT_ASSERT_EQUAL(declared.accelerators, commit().accelerators);
     }
 
-    // A copied script asks for a tenth of what the task takes. Until five tasks have been seen, ten
-    // of them would be packed onto one host, which then swaps. The first report has to be enough.
+    // Tasks submitted with a copied script declare a tenth of what they use. If the size rose only
+    // after five observed tasks, ten of them would be placed on a host that fits one, which then
+    // swaps. The first report must raise it.
     void a_size_copied_ten_times_too_small_rises_with_the_first_report() {
         run_tasks(1, {.cpu_millis = 40'000, .memory_mib = 81'920}, 1);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{48'000}, commit().cpu_millis);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{98'304}, commit().memory_mib);
     }
 
-    // A studio changes its renders; from the next task on they take eight times as much. Tasks
-    // committed at the old size would over-fill their hosts until the window had turned over.
+    // The use of a template's tasks rises to eight times what it was. Guards against committing the
+    // old size, which overcommits the hosts, until every sample in the window has been replaced.
     void a_template_whose_use_jumps_up_is_followed_at_once() {
         run_tasks(16, {.cpu_millis = 500, .memory_mib = 1000}, 1);
         run_tasks(1, {.cpu_millis = 4000, .memory_mib = 8000}, 1);
@@ -79,9 +80,9 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{600}, commit().cpu_millis);
     }
 
-    // Sixteen tasks are watched; the oldest takes the most memory. A new task takes the most
-    // processors and is sampled in its place, and the memory that the old one still holds must
-    // not drop out of the size.
+    // The window is full and its oldest sample has the memory peak. A new task with the highest CPU
+    // use replaces that sample. Guards against losing the memory peak while the replaced task still
+    // runs.
     void one_task_over_the_peak_does_not_hide_the_memory_of_another() {
         run_tasks(1, {.cpu_millis = 500, .memory_mib = 8000}, 1);
         run_tasks(15, {.cpu_millis = 500, .memory_mib = 1000}, 1);
