--- a/bench/learning_sizes.cpp
+++ b/bench/learning_sizes.cpp
@@ -187,10 +187,10 @@
         const double seconds = median_seconds(1, [&] {
             for (int task = 0; task < tasks; ++task) {
                 const job_id job("job-" + std::to_string(task / 10));
-                policy->note_failed(worker_id("worker-" + std::to_string(task % 76)),
-                                    task_id(job.str() + "/" + std::to_string(task)),
-                                    attempt_number(1), job, now);
-                policy->note_succeeded(worker_id("worker-" + std::to_string(task % 76)),
+                policy->record_failure(worker_id("worker-" + std::to_string(task % 76)),
+                                       task_id(job.str() + "/" + std::to_string(task)),
+                                       attempt_number(1), job, now);
+                policy->record_success(worker_id("worker-" + std::to_string(task % 76)),
                                        task_id("other/0"), now);
             }
         });
--- a/include/figwinch/learning/failure_policy.h
+++ b/include/figwinch/learning/failure_policy.h
@@ -24,13 +24,13 @@
     /// Records a failed attempt. Idempotent for repeated reports of one attempt.
     /// `job` must equal the part of the task id before its last slash, so that a success of the
     /// task also clears the failures recorded for the job.
-    virtual void note_failed(const worker_id& worker, const task_id& task, attempt_number attempt,
-                             const job_id& job, instant now) = 0;
-    virtual void note_succeeded(const worker_id& worker, const task_id& task, instant now) = 0;
+    virtual void record_failure(const worker_id& worker, const task_id& task,
+                                attempt_number attempt, const job_id& job, instant now) = 0;
+    virtual void record_success(const worker_id& worker, const task_id& task, instant now) = 0;
     /// Whether the worker is in quarantine, including while a trial task runs on it.
     virtual bool is_quarantined(const worker_id& worker, instant now) const = 0;
     /// Whether `admit` would return true. Used to choose among workers; starts no trial.
-    virtual bool would_admit(const worker_id& worker, instant now) const = 0;
+    virtual bool can_admit(const worker_id& worker, instant now) const = 0;
     /// Whether the worker may start a task now; call it right before the start. Once the quarantine
     /// time has passed, one call returns true and starts a trial: if the trial task fails, the
     /// quarantine time doubles; if it succeeds, the quarantine ends.
@@ -44,7 +44,7 @@
         return failures_on(task, worker) > 0;
     }
     /// Drops the failures of a task that has ended and will not be retried.
-    virtual void forget(const task_id& task) = 0;
+    virtual void erase_task(const task_id& task) = 0;
 };
 
 } // namespace figwinch
--- a/src/learning/sampled_use.cpp
+++ b/src/learning/sampled_use.cpp
@@ -6,7 +6,7 @@
 namespace figwinch {
 namespace {
 
-std::uint32_t narrow(std::int64_t value) {
+std::uint32_t clamp_to_uint32(std::int64_t value) {
     constexpr std::int64_t most = std::numeric_limits<std::uint32_t>::max();
     return static_cast<std::uint32_t>(std::clamp<std::int64_t>(value, 0, most));
 }
@@ -17,11 +17,11 @@
     ++reports_;
     sample* entry = find(task_hash);
     if (entry == nullptr)
-        entry = admit(task_hash, used);
+        entry = add_sample(task_hash, used);
     if (entry == nullptr)
         return;
-    entry->cpu_millis = std::max(entry->cpu_millis, narrow(used.cpu_millis));
-    entry->memory_mib = std::max(entry->memory_mib, narrow(used.memory_mib));
+    entry->cpu_millis = std::max(entry->cpu_millis, clamp_to_uint32(used.cpu_millis));
+    entry->memory_mib = std::max(entry->memory_mib, clamp_to_uint32(used.memory_mib));
     entry->last_report = reports_;
     ++entry->reports;
 }
@@ -45,10 +45,10 @@
     return found == samples_.end() ? nullptr : &*found;
 }
 
-sampled_use::sample* sampled_use::admit(std::uint64_t task_hash, const resources& used) {
+sampled_use::sample* sampled_use::add_sample(std::uint64_t task_hash, const resources& used) {
     if (samples_.size() < window)
         return &samples_.emplace_back(sample{.task_hash = task_hash});
-    sample& oldest = samples_[next_];
+    sample& oldest = samples_[oldest_index_];
     const bool settled = is_settled(oldest);
     // A task whose use is above the peak is sampled at once: its committed size may be too small
     // already, and further tasks of the template would be committed at that size until it is
@@ -63,13 +63,13 @@
     successor.task_hash = task_hash;
     successor.reports = 0;
     oldest = successor;
-    next_ = (next_ + 1) % window;
+    oldest_index_ = (oldest_index_ + 1) % window;
     return &oldest;
 }
 
 bool sampled_use::is_settled(const sample& candidate) const {
-    return candidate.reports >= settled_reports ||
-           reports_ - candidate.last_report > unseen_reports;
+    return candidate.reports >= reports_to_settle ||
+           reports_ - candidate.last_report > reports_until_ended;
 }
 
 } // namespace figwinch
--- a/src/learning/sampled_use.h
+++ b/src/learning/sampled_use.h
@@ -33,21 +33,21 @@
     };
 
     /// Number of reports after which a sampled task may be replaced by another.
-    static constexpr std::uint32_t settled_reports = 4;
+    static constexpr std::uint32_t reports_to_settle = 4;
     /// Number of reports of other tasks, without one of its own, after which a sampled task is
     /// taken to have ended.
-    static constexpr std::uint32_t unseen_reports = 64;
+    static constexpr std::uint32_t reports_until_ended = 64;
 
     sample* find(std::uint64_t task_hash);
     /// Adds a task to the window. Returns null if the window is full, the oldest sample may not be
     /// replaced yet, and the task's use is not above the peak.
-    sample* admit(std::uint64_t task_hash, const resources& used);
+    sample* add_sample(std::uint64_t task_hash, const resources& used);
     /// Whether the sample has enough reports, or its task has ended, so that it may be replaced.
     bool is_settled(const sample& candidate) const;
 
     std::vector<sample> samples_;
     std::uint32_t reports_ = 0;
-    std::uint32_t next_ = 0;
+    std::uint32_t oldest_index_ = 0;
 };
 
 } // namespace figwinch
--- a/src/learning/streak_failure_policy.cpp
+++ b/src/learning/streak_failure_policy.cpp
@@ -11,13 +11,13 @@
 constexpr std::size_t max_jobs = 10'000;
 /// Number of different workers on which a job must fail, without a success in between, to become
 /// suspect.
-constexpr std::size_t suspect_workers = 3;
+constexpr std::size_t min_workers_for_suspect = 3;
 /// Number of failed jobs kept for each worker. Limits `settings::worker_failures` to half of it,
 /// since failures of suspect jobs count half.
-constexpr std::size_t max_streak = 16;
+constexpr std::size_t max_failed_jobs = 16;
 /// Number of workers kept for each task. Failures counted on a dropped worker remain in the task's
 /// total.
-constexpr std::size_t max_failures = 64;
+constexpr std::size_t max_workers_per_task = 64;
 
 /// Extracts the job id from a task id of the form `<job>/<index>`.
 job_id job_of(const task_id& task) {
@@ -34,11 +34,11 @@
 streak_failure_policy::streak_failure_policy(const settings& with)
     : settings_(with), workers_(max_workers), tasks_(max_tasks), jobs_(max_jobs) {
     settings_.worker_failures =
-        std::clamp(settings_.worker_failures, 1, static_cast<int>(max_streak / 2));
+        std::clamp(settings_.worker_failures, 1, static_cast<int>(max_failed_jobs / 2));
 }
 
-void streak_failure_policy::note_failed(const worker_id& worker, const task_id& task,
-                                        attempt_number attempt, const job_id& job, instant now) {
+void streak_failure_policy::record_failure(const worker_id& worker, const task_id& task,
+                                           attempt_number attempt, const job_id& job, instant now) {
     // A worker repeats the report of a task's end until it is acknowledged, which requires a write
     // to the log. Without this check, a repeated report of an earlier failure during a trial would
     // count as the outcome of the trial and double the quarantine.
@@ -46,25 +46,25 @@
     if (known != nullptr && attempt <= known->attempt)
         return;
     worker_record& record = workers_.touch(worker);
-    remember(task, worker, attempt, !record.quarantined);
-    if (suspect(job, worker))
-        release_wrongly_condemned();
+    record_task_failure(task, worker, attempt, !record.quarantined);
+    if (record_job_failure(job, worker))
+        lift_unjustified_quarantines();
     if (record.quarantined) {
         if (record.on_trial)
-            note_trial_failed(record, is_suspect(job), now);
+            handle_trial_failure(record, is_suspect(job), now);
         return;
     }
     if (std::ranges::find(record.failed_jobs, job) == record.failed_jobs.end())
         record.failed_jobs.push_back(job);
-    if (record.failed_jobs.size() > max_streak)
+    if (record.failed_jobs.size() > max_failed_jobs)
         record.failed_jobs.erase(record.failed_jobs.begin());
-    if (!streak_condemns(record))
+    if (!is_quarantine_justified(record))
         return;
     record.quarantine = std::min(settings_.quarantine, settings_.max_quarantine);
     quarantine(worker, record, now);
 }
 
-void streak_failure_policy::note_succeeded(const worker_id& worker, const task_id& task,
+void streak_failure_policy::record_success(const worker_id& worker, const task_id& task,
                                            instant /*now*/) {
     jobs_.erase(job_of(task));
     const worker_record* record = workers_.find(worker);
@@ -82,7 +82,7 @@
     return record != nullptr && record->quarantined;
 }
 
-bool streak_failure_policy::would_admit(const worker_id& worker, instant now) const {
+bool streak_failure_policy::can_admit(const worker_id& worker, instant now) const {
     const worker_record* record = workers_.find(worker);
     if (record == nullptr || !record->quarantined)
         return true;
@@ -94,7 +94,7 @@
 }
 
 bool streak_failure_policy::admit(const worker_id& worker, instant now) {
-    if (!would_admit(worker, now))
+    if (!can_admit(worker, now))
         return false;
     worker_record* record = workers_.find(worker);
     if (record == nullptr || !record->quarantined)
@@ -108,15 +108,15 @@
     const task_failures* failures = tasks_.find(task);
     if (failures == nullptr)
         return 0;
-    int sum = failures->counted_before;
-    for (const task_failures::failure& failure : failures->on_workers)
+    int sum = failures->counted_on_dropped;
+    for (const task_failures::failure& failure : failures->by_worker)
         sum += failure.counted;
     return sum;
 }
 
 int streak_failure_policy::failures_on(const task_id& task, const worker_id& worker) const {
     const task_failures::failure* failure = find_failure(task, worker);
-    return failure == nullptr ? 0 : failure->times;
+    return failure == nullptr ? 0 : failure->failed_attempts;
 }
 
 const task_failures::failure* streak_failure_policy::find_failure(const task_id& task,
@@ -125,43 +125,43 @@
     if (failures == nullptr)
         return nullptr;
     const auto found =
-        std::ranges::find(failures->on_workers, worker, &task_failures::failure::worker);
-    return found == failures->on_workers.end() ? nullptr : &*found;
+        std::ranges::find(failures->by_worker, worker, &task_failures::failure::worker);
+    return found == failures->by_worker.end() ? nullptr : &*found;
 }
 
-void streak_failure_policy::remember(const task_id& task, const worker_id& worker,
-                                     attempt_number attempt, bool counted) {
+void streak_failure_policy::record_task_failure(const task_id& task, const worker_id& worker,
+                                                attempt_number attempt, bool counted) {
     task_failures& known = tasks_.touch(task);
-    std::vector<task_failures::failure>& failures = known.on_workers;
+    std::vector<task_failures::failure>& failures = known.by_worker;
     auto same = std::ranges::find(failures, worker, &task_failures::failure::worker);
     if (same == failures.end()) {
-        if (failures.size() >= max_failures) {
-            known.counted_before += failures.front().counted;
+        if (failures.size() >= max_workers_per_task) {
+            known.counted_on_dropped += failures.front().counted;
             failures.erase(failures.begin());
         }
         same = failures.insert(failures.end(), {worker, attempt});
     }
     same->attempt = attempt;
-    ++same->times;
+    ++same->failed_attempts;
     same->counted += counted ? 1 : 0;
 }
 
-bool streak_failure_policy::suspect(const job_id& job, const worker_id& worker) {
+bool streak_failure_policy::record_job_failure(const job_id& job, const worker_id& worker) {
     std::vector<worker_id>& failed = jobs_.touch(job).failed_on;
     const bool known = std::ranges::find(failed, worker) != failed.end();
-    if (known || failed.size() >= suspect_workers)
+    if (known || failed.size() >= min_workers_for_suspect)
         return false;
     failed.push_back(worker);
-    return failed.size() == suspect_workers;
+    return failed.size() == min_workers_for_suspect;
 }
 
 bool streak_failure_policy::is_suspect(const job_id& job) const {
-    const job_suspicion* suspicion = jobs_.find(job);
-    return suspicion != nullptr && suspicion->failed_on.size() >= suspect_workers;
+    const job_failures* failures = jobs_.find(job);
+    return failures != nullptr && failures->failed_on.size() >= min_workers_for_suspect;
 }
 
-void streak_failure_policy::note_trial_failed(worker_record& record, bool job_suspect,
-                                              instant now) {
+void streak_failure_policy::handle_trial_failure(worker_record& record, bool job_suspect,
+                                                 instant now) {
     record.on_trial = false;
     // A failure of a suspect job is no evidence against the worker: another trial may start at
     // once.
@@ -171,7 +171,7 @@
     record.quarantined_until = now + record.quarantine;
 }
 
-bool streak_failure_policy::streak_condemns(const worker_record& record) const {
+bool streak_failure_policy::is_quarantine_justified(const worker_record& record) const {
     // A suspect job counts half. At full weight, a few jobs that fail on every worker would
     // quarantine the whole cluster; at no weight, several faulty workers that fail the same jobs
     // would make those jobs suspect, escape quarantine and go on to fail new jobs.
@@ -181,12 +181,12 @@
     return weight >= 2 * settings_.worker_failures;
 }
 
-void streak_failure_policy::release_wrongly_condemned() {
+void streak_failure_policy::lift_unjustified_quarantines() {
     // Jobs that fail on every worker are not suspect yet when they fail on their first workers, so
     // these may be quarantined. Once the jobs are suspect, quarantines caused by their failures
     // alone are lifted.
     workers_.for_each([this](const worker_id&, worker_record& record) {
-        if (record.quarantined && !streak_condemns(record))
+        if (record.quarantined && !is_quarantine_justified(record))
             record = worker_record{.failed_jobs = std::move(record.failed_jobs)};
     });
 }
@@ -196,12 +196,12 @@
     record.quarantined = true;
     record.on_trial = false;
     record.quarantined_until = now + record.quarantine;
-    discount(worker);
+    uncount_failures(worker);
 }
 
-void streak_failure_policy::discount(const worker_id& worker) {
+void streak_failure_policy::uncount_failures(const worker_id& worker) {
     tasks_.for_each([&worker](const task_id&, task_failures& failures) {
-        for (task_failures::failure& failure : failures.on_workers) {
+        for (task_failures::failure& failure : failures.by_worker) {
             if (failure.worker == worker)
                 failure.counted = 0;
         }
--- a/src/learning/task_failures.h
+++ b/src/learning/task_failures.h
@@ -13,14 +13,14 @@
         /// The latest attempt that failed on this worker.
         attempt_number attempt{};
         /// Number of attempts that failed on this worker.
-        int times = 0;
+        int failed_attempts = 0;
         /// How many of these count against the task; reset to zero when the worker is quarantined.
         int counted = 0;
     };
     /// At most one entry for each worker.
-    std::vector<failure> on_workers;
-    /// Sum of `counted` of the entries that were dropped from `on_workers`.
-    int counted_before = 0;
+    std::vector<failure> by_worker;
+    /// Sum of `counted` of the entries that were dropped from `by_worker`.
+    int counted_on_dropped = 0;
 };
 
 } // namespace figwinch
--- a/src/learning/window_size_estimator.cpp
+++ b/src/learning/window_size_estimator.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 /// The minimum committed for any task, so that a size is never zero.
-constexpr resources smallest{.cpu_millis = 10, .memory_mib = 16};
+constexpr resources min_size{.cpu_millis = 10, .memory_mib = 16};
 
-resources at_least_smallest(resources size) {
-    size.cpu_millis = std::max(size.cpu_millis, smallest.cpu_millis);
-    size.memory_mib = std::max(size.memory_mib, smallest.memory_mib);
+resources raise_to_min_size(resources size) {
+    size.cpu_millis = std::max(size.cpu_millis, min_size.cpu_millis);
+    size.memory_mib = std::max(size.memory_mib, min_size.memory_mib);
     return size;
 }
 
@@ -41,7 +41,7 @@
                                              const resources& declared) const {
     const sampled_use* use = pairs_.find({customer, copied_from});
     if (use == nullptr)
-        return at_least_smallest(declared);
+        return raise_to_min_size(declared);
     resources size = declared;
     size.cpu_millis = with_margin(use->peak_cpu_millis());
     size.memory_mib = with_margin(use->peak_memory_mib());
@@ -49,7 +49,7 @@
         size.cpu_millis = std::max(size.cpu_millis, declared.cpu_millis);
         size.memory_mib = std::max(size.memory_mib, declared.memory_mib);
     }
-    return at_least_smallest(size);
+    return raise_to_min_size(size);
 }
 
 std::int64_t window_size_estimator::with_margin(std::int64_t peak) const {
--- a/src/scheduler/core_log.cpp
+++ b/src/scheduler/core_log.cpp
@@ -120,7 +120,7 @@
     if (!is_mine(job))
         return;
     if (policies_.failures && job.tasks.at(index).final)
-        policies_.failures->forget(make_task_id(job.key, index));
+        policies_.failures->erase_task(make_task_id(job.key, index));
     if (!job.done())
         return;
     let_go(job.key);
--- a/src/scheduler/core_placement.cpp
+++ b/src/scheduler/core_placement.cpp
@@ -98,7 +98,7 @@
     const auto cost = [&](const worker_room& room) -> std::optional<double> {
         if (!leases_.may_start(room.worker, now))
             return std::nullopt;
-        if (policies_.failures && !policies_.failures->would_admit(room.worker, now))
+        if (policies_.failures && !policies_.failures->can_admit(room.worker, now))
             return std::nullopt;
         const int failures =
             policies_.failures ? policies_.failures->failures_on(task, room.worker) : 0;
@@ -133,7 +133,7 @@
     return std::ranges::any_of(leases_.workers(), [&](const auto& entry) {
         const auto& [name, worker] = entry;
         return worker.preferred && !worker.removed && worker.state != hold_state::silent &&
-               fits(size, worker.spec.capacity) && policies_.failures->would_admit(name, now) &&
+               fits(size, worker.spec.capacity) && policies_.failures->can_admit(name, now) &&
                !policies_.failures->failed_on(task, name);
     });
 }
--- a/src/scheduler/core_workers.cpp
+++ b/src/scheduler/core_workers.cpp
@@ -78,10 +78,10 @@
     const task_id task(report.key().task());
     const std::optional<task_name> name = parse_task_id(task.str());
     if (report.end() == pb::TASK_END_FAILED)
-        policies_.failures->note_failed(worker, task, attempt_number(report.key().attempt()),
-                                        job_id(name->job.str()), now_);
+        policies_.failures->record_failure(worker, task, attempt_number(report.key().attempt()),
+                                           job_id(name->job.str()), now_);
     else if (report.end() == pb::TASK_END_FINISHED)
-        policies_.failures->note_succeeded(worker, task, now_);
+        policies_.failures->record_success(worker, task, now_);
 }
 
 void scheduler_core::on_gone(const leased_worker& /*worker*/, const task_id& task,
--- a/tests/learning/failure_policy_test.cpp
+++ b/tests/learning/failure_policy_test.cpp
@@ -24,15 +24,15 @@
 class failure_policy_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(failure_policy_test);
     CPPUNIT_TEST(a_worker_that_fails_everything_is_quarantined);
-    CPPUNIT_TEST(a_job_that_fails_everywhere_empties_no_worker);
-    CPPUNIT_TEST(jobs_that_fail_everywhere_together_empty_no_worker);
-    CPPUNIT_TEST(a_bad_worker_cannot_hide_behind_the_jobs_it_made_suspect);
+    CPPUNIT_TEST(a_job_that_fails_everywhere_quarantines_no_worker);
+    CPPUNIT_TEST(jobs_that_fail_everywhere_together_quarantine_no_worker);
+    CPPUNIT_TEST(bad_workers_are_quarantined_although_their_jobs_are_suspect);
     CPPUNIT_TEST(one_job_failing_many_times_does_not_quarantine);
     CPPUNIT_TEST(a_success_between_failures_keeps_the_worker);
     CPPUNIT_TEST(one_trial_is_let_through_and_its_failure_doubles);
     CPPUNIT_TEST(the_quarantine_stays_under_its_limit);
     CPPUNIT_TEST(a_successful_trial_ends_the_quarantine);
-    CPPUNIT_TEST(looking_counts_no_trial);
+    CPPUNIT_TEST(can_admit_starts_no_trial);
     CPPUNIT_TEST(a_repeated_report_is_no_outcome_of_a_trial);
     CPPUNIT_TEST(a_trial_without_outcome_is_followed_by_another);
     CPPUNIT_TEST(an_old_task_that_finishes_does_not_end_the_quarantine);
@@ -45,9 +45,9 @@
     manual_clock clock_;
 
     void fail(const worker_id& at, int number) {
-        policy_->note_failed(at, task(number), attempt_number(1), job(number), clock_.now());
+        policy_->record_failure(at, task(number), attempt_number(1), job(number), clock_.now());
     }
-    void condemn() {
+    void fail_three_jobs() {
         for (const int number : {1, 2, 3})
             fail(bad, number);
     }
@@ -74,7 +74,7 @@
 
     // A job that crashes on every worker is retried on one after another. Guards against a
     // quarantine of these healthy workers; the failures must count against the job's tasks.
-    void a_job_that_fails_everywhere_empties_no_worker() {
+    void a_job_that_fails_everywhere_quarantines_no_worker() {
         for (int at = 0; at < 10; ++at) {
             fail(worker(at), 7);
             CPPUNIT_ASSERT(!quarantined(worker(at)));
@@ -85,7 +85,7 @@
     // Three broken jobs are tried on the same workers, so the first workers fail three different
     // jobs and are quarantined. Guards against healthy workers that stay in quarantine until a
     // trial although the jobs have become suspect.
-    void jobs_that_fail_everywhere_together_empty_no_worker() {
+    void jobs_that_fail_everywhere_together_quarantine_no_worker() {
         for (int at = 0; at < 10; ++at) {
             for (const int number : {1, 2, 3})
                 fail(worker(at), number);
@@ -98,7 +98,7 @@
     // Three workers of one rack become faulty together. Single-task jobs fail on all three and
     // become suspect. If failures of suspect jobs counted nothing, the three workers would never be
     // quarantined and would fail one job after another.
-    void a_bad_worker_cannot_hide_behind_the_jobs_it_made_suspect() {
+    void bad_workers_are_quarantined_although_their_jobs_are_suspect() {
         for (int number = 0; number < 6; ++number) {
             for (int at = 0; at < 3; ++at)
                 fail(worker(at), number);
@@ -109,8 +109,8 @@
 
     void one_job_failing_many_times_does_not_quarantine() {
         for (int i = 0; i < 20; ++i)
-            policy_->note_failed(bad, task_id("job-1/" + std::to_string(i)), attempt_number(1),
-                                 job(1), clock_.now());
+            policy_->record_failure(bad, task_id("job-1/" + std::to_string(i)), attempt_number(1),
+                                    job(1), clock_.now());
         CPPUNIT_ASSERT(!quarantined(bad));
     }
 
@@ -118,13 +118,13 @@
         for (int number = 0; number < 20; ++number) {
             fail(bad, number);
             if (number % 2 == 1)
-                policy_->note_succeeded(bad, task_id("other/0"), clock_.now());
+                policy_->record_success(bad, task_id("other/0"), clock_.now());
         }
         CPPUNIT_ASSERT(!quarantined(bad));
     }
 
     void one_trial_is_let_through_and_its_failure_doubles() {
-        condemn();
+        fail_three_jobs();
         clock_.advance(std::chrono::minutes(1));
         CPPUNIT_ASSERT(admit(bad));
         CPPUNIT_ASSERT(!admit(bad));
@@ -138,7 +138,7 @@
     }
 
     void the_quarantine_stays_under_its_limit() {
-        condemn();
+        fail_three_jobs();
         for (int number = 10; number < 30; ++number) {
             clock_.advance(std::chrono::minutes(30));
             CPPUNIT_ASSERT(admit(bad));
@@ -147,10 +147,10 @@
     }
 
     void a_successful_trial_ends_the_quarantine() {
-        condemn();
+        fail_three_jobs();
         clock_.advance(std::chrono::minutes(1));
         CPPUNIT_ASSERT(admit(bad));
-        policy_->note_succeeded(bad, task(4), clock_.now());
+        policy_->record_success(bad, task(4), clock_.now());
         CPPUNIT_ASSERT(!quarantined(bad));
         CPPUNIT_ASSERT(admit(bad));
         CPPUNIT_ASSERT(admit(bad));
@@ -159,32 +159,32 @@
     // Placement queries every worker for every task. Guards against a trial that a query starts on
     // a worker that gets no task, and against a worker that is never offered a trial after its
     // quarantine time.
-    void looking_counts_no_trial() {
-        condemn();
-        CPPUNIT_ASSERT(!policy_->would_admit(bad, clock_.now()));
+    void can_admit_starts_no_trial() {
+        fail_three_jobs();
+        CPPUNIT_ASSERT(!policy_->can_admit(bad, clock_.now()));
         clock_.advance(std::chrono::minutes(1));
         for (int i = 0; i < 5; ++i)
-            CPPUNIT_ASSERT(policy_->would_admit(bad, clock_.now()));
+            CPPUNIT_ASSERT(policy_->can_admit(bad, clock_.now()));
         CPPUNIT_ASSERT(admit(bad));
-        CPPUNIT_ASSERT(!policy_->would_admit(bad, clock_.now()));
+        CPPUNIT_ASSERT(!policy_->can_admit(bad, clock_.now()));
     }
 
     // While the log is unavailable, the worker repeats the reports of the failures that led to its
     // quarantine. Guards against counting one that arrives during a trial as the trial's outcome,
     // which would double the quarantine each time.
     void a_repeated_report_is_no_outcome_of_a_trial() {
-        condemn();
+        fail_three_jobs();
         clock_.advance(std::chrono::minutes(1));
         CPPUNIT_ASSERT(admit(bad));
-        condemn();
-        policy_->note_succeeded(bad, task(4), clock_.now());
+        fail_three_jobs();
+        policy_->record_success(bad, task(4), clock_.now());
         CPPUNIT_ASSERT(!quarantined(bad));
     }
 
     // The trial task is cancelled by its customer, so its outcome is never reported. Guards against
     // a repaired worker that stays in quarantine for ever.
     void a_trial_without_outcome_is_followed_by_another() {
-        condemn();
+        fail_three_jobs();
         clock_.advance(std::chrono::minutes(1));
         CPPUNIT_ASSERT(admit(bad));
         clock_.advance(std::chrono::minutes(1));
@@ -194,14 +194,14 @@
     // A long task started before the worker became faulty succeeds during the quarantine. Guards
     // against ending the quarantine for it: three more jobs would fail before the next one.
     void an_old_task_that_finishes_does_not_end_the_quarantine() {
-        condemn();
-        policy_->note_succeeded(bad, task_id("old/0"), clock_.now());
+        fail_three_jobs();
+        policy_->record_success(bad, task_id("old/0"), clock_.now());
         CPPUNIT_ASSERT(quarantined(bad));
     }
 
     void a_forgotten_task_has_no_failures() {
         fail(bad, 1);
-        policy_->forget(task(1));
+        policy_->erase_task(task(1));
         CPPUNIT_ASSERT_EQUAL(0, policy_->counted_failures(task(1)));
         CPPUNIT_ASSERT(!policy_->failed_on(task(1), bad));
     }
@@ -210,7 +210,7 @@
     // count as one and never use up its attempts.
     void each_attempt_on_one_worker_counts_once() {
         for (const std::uint64_t attempt : {1U, 2U, 2U, 1U, 3U})
-            policy_->note_failed(bad, task(1), attempt_number(attempt), job(1), clock_.now());
+            policy_->record_failure(bad, task(1), attempt_number(attempt), job(1), clock_.now());
         CPPUNIT_ASSERT_EQUAL(3, policy_->counted_failures(task(1)));
         CPPUNIT_ASSERT_EQUAL(3, policy_->failures_on(task(1), bad));
         CPPUNIT_ASSERT(!quarantined(bad));
--- a/tests/learning/size_estimator_test.cpp
+++ b/tests/learning/size_estimator_test.cpp
@@ -21,7 +21,7 @@
     CPPUNIT_TEST(a_template_whose_use_falls_is_followed_by_new_tasks);
     CPPUNIT_TEST(one_task_over_the_peak_does_not_hide_the_memory_of_another);
     CPPUNIT_TEST(many_reports_of_one_task_are_one_task);
-    CPPUNIT_TEST(reports_without_use_teach_nothing);
+    CPPUNIT_TEST(reports_without_use_are_ignored);
     CPPUNIT_TEST(customers_do_not_share_what_was_learned);
     CPPUNIT_TEST(the_least_recently_seen_pair_is_forgotten);
     CPPUNIT_TEST_SUITE_END();
@@ -96,7 +96,7 @@
         CPPUNIT_ASSERT(commit() == declared);
     }
 
-    void reports_without_use_teach_nothing() {
+    void reports_without_use_are_ignored() {
         run_tasks(20, {});
         sizes_->observe(studio, template_id(), task_id("job/0"), {.cpu_millis = 1});
         CPPUNIT_ASSERT_EQUAL(std::size_t{0}, sizes_->pairs());
