--- a/include/figwinch/placement.h
+++ b/include/figwinch/placement.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Library `placement`: which queued task goes next and which worker takes it. No I/O.
+/// Library `placement`: in-memory indexes that choose the next queued job and the worker to place
+/// its tasks on. Performs no I/O.
 
 #include "figwinch/placement/candidate_index.h"
 #include "figwinch/placement/job_queue.h"
--- a/include/figwinch/placement/candidate_index.h
+++ b/include/figwinch/placement/candidate_index.h
@@ -11,52 +11,56 @@
 
 namespace figwinch {
 
-/// Names a worker in a `candidate_index`; chosen by its owner, small and dense.
+/// Identifies a worker in a `candidate_index`. The caller assigns slots; they should be small and
+/// dense, since they index a vector.
 using worker_slot = std::uint32_t;
-/// Numbers a label or an image of a `candidate_index`.
+/// Identifies an interned tag (a rack, label or image) of a `candidate_index`.
 using tag_number = std::uint32_t;
 
-/// What a worker offers to tasks, as placement looks it up.
+/// The properties of a worker by which `candidate_index` finds it.
 struct worker_offer {
     service_id service;
-    /// Processors that tasks which count against the capacity may take, thousandths.
+    /// Free CPU for tasks that count against the capacity, in thousandths of a core.
     std::int64_t free_millis = 0;
-    /// Processors that are left to filling tasks, thousandths; may be below zero.
+    /// CPU left for best-effort tasks, in thousandths of a core. A negative value is indexed as 0.
     std::int64_t fill_millis = 0;
-    /// Its labels, its rack among them, and the images that serve on it.
+    /// Labels of the worker, its rack, and the images of the serving tasks that run on it.
     std::vector<tag_number> tags;
 };
 
-/// Finds workers that may take a task without walking over all of them: by service, by what is free
-/// in classes, and by tags. What it shows is where to look; whether a worker admits the task is the
-/// caller's to decide. A lookup costs what it visits, an update the number of the worker's tags.
-/// Owned by a coordinator.
+/// Finds candidate workers for a task without scanning all of them. Workers are indexed by service,
+/// by free CPU in buckets, and by tag. The result is only approximate: the caller must check that a
+/// candidate can admit the task. The cost of a lookup is linear in the workers visited, that of an
+/// update in the tags of the worker. Owned by a coordinator.
 class candidate_index {
 public:
-    /// Returns whether to go on.
+    /// Returns false to end the visit.
     using visitor = std::function<bool(worker_slot)>;
 
+    /// Returns the number of a tag; a new name gets the next free number.
     tag_number tag(const std::string& name);
 
-    /// Adds a worker or brings its offer up to date.
+    /// Adds a worker, or updates it if the slot is in use.
     void put(worker_slot worker, const worker_offer& offer);
     void remove(worker_slot worker);
     std::size_t size() const { return size_; }
 
-    /// Workers with at least `least` free, those with the most first; `turn` says where in a class
-    /// to begin, so that workers alike take turns.
+    /// Visits workers in buckets from that of `least` free CPU (in thousandths of a core) upwards,
+    /// the bucket with the most free CPU first. `turn` selects the first worker within each bucket:
+    /// callers increase it to rotate among similar workers.
     void visit_free(const service_id& service, std::int64_t least, std::uint64_t turn,
                     const visitor& visit) const;
-    /// The same of the workers that have a tag.
+    /// Like `visit_free`, but visits only workers that have the tag.
     void visit_tagged(const service_id& service, tag_number tag, std::int64_t least,
                       std::uint64_t turn, const visitor& visit) const;
-    /// A sample of `most` workers from all classes alike that leave at least `least` to filling
-    /// tasks, or all of them when there are no more; `turn` chooses the sample.
+    /// Visits an evenly spaced sample of at most `most` workers from the buckets that leave at
+    /// least `least` CPU (in thousandths of a core) for best-effort tasks; visits all of them if
+    /// there are no more than `most`. `turn` selects the sample.
     void visit_fill(const service_id& service, std::int64_t least, std::size_t most,
                     std::uint64_t turn, const visitor& visit) const;
 
 private:
-    /// Workers in classes of processors.
+    /// Workers grouped in buckets by an amount of CPU.
     class room_classes {
     public:
         void put(worker_slot worker, std::int64_t millis);
@@ -86,7 +90,7 @@
 
     absl::flat_hash_map<std::string, tag_number> tags_;
     absl::flat_hash_map<service_id, service_rooms> services_;
-    /// By slot; `listed` tells which slots are in use.
+    /// Indexed by slot; `listed_` tells which slots are in use.
     std::vector<worker_offer> offers_;
     std::vector<bool> listed_;
     std::size_t size_ = 0;
--- a/include/figwinch/placement/job_queue.h
+++ b/include/figwinch/placement/job_queue.h
@@ -13,29 +13,31 @@
 
 namespace figwinch {
 
-/// The order in which jobs with queued tasks are tried: by class (urgent, service, normal, bulk),
-/// then the customer that uses least for its share, then age. Owned by a scheduler. Every operation
-/// costs a logarithm of the queue, so that one cancellation costs the same at any length.
+/// Priority queue of the jobs that have queued tasks. Jobs are ordered by class (urgent, service,
+/// normal, bulk), then by customer, lowest usage relative to its share first, then by age. Adding
+/// or removing a job takes logarithmic time, so a cancellation stays cheap in a long queue. Owned
+/// by a scheduler.
 class job_queue {
 public:
-    /// What a visitor found out about a job.
+    /// Returned by a visitor: where `visit` continues after a job.
     enum class verdict {
-        /// Goes on with the next job of the customer.
+        /// Continue with the next job of the same customer.
         next_job,
-        /// Nothing of this customer can be placed now.
+        /// Skip the other jobs of this customer in the class: none of them can be placed now.
         next_customer,
         stop,
     };
     using visitor = std::function<verdict(const job_key&)>;
 
-    /// Adds the job; does nothing when it is there. `age` orders jobs of one customer.
+    /// Adds a job; does nothing if it is already queued. Among the jobs of one customer and class,
+    /// the one with the lowest `age` comes first.
     void add(const job_key& job, const customer_id& customer, work_class job_class,
              std::uint64_t age);
     void remove(const job_key& job);
     bool contains(const job_key& job) const { return places_.contains(job); }
-    /// Sets what a customer uses, divided by its share.
+    /// Sets the resource usage of a customer, divided by its share.
     void set_usage(const customer_id& customer, double usage);
-    /// Visits at most `limit` jobs in order. The visitor must not change the queue.
+    /// Visits at most `limit` jobs in queue order. The visitor must not modify the queue.
     void visit(std::size_t limit, const visitor& call) const;
     std::size_t size() const { return places_.size(); }
 
--- a/include/figwinch/placement/shape_check.h
+++ b/include/figwinch/placement/shape_check.h
@@ -9,16 +9,18 @@
 
 namespace figwinch {
 
-/// Why a task can never run: the limit that it breaks and the nearest shape that exists.
+/// Explains why no worker can ever run a task: the limits that the task exceeds and the worker
+/// whose capacity comes closest.
 struct shape_refusal {
-    /// "cpu_millis 64000 is above 32000 of the largest worker; nearest worker: ...".
+    /// For example "cpu_millis 64000 exceeds 32000; nearest worker shape: ...".
     std::string reason;
-    /// The worker that the task comes closest to fitting.
+    /// The worker that the task exceeds least; empty if the allowed data centres have no worker.
     worker_id nearest;
 };
 
-/// Whether some worker of the allowed data centres (empty: any) could hold the task when idle;
-/// nothing when one could. Data centres that are out count, since they come back.
+/// Checks that at least one worker in the allowed data centres (all, if the list is empty) could
+/// hold the task when idle. Returns `std::nullopt` if one could, otherwise the reason for the
+/// refusal. Unavailable data centres are included, since they are expected to recover.
 std::optional<shape_refusal> check_shape(const manifest& config, const resources& size,
                                          const std::vector<data_centre_id>& allowed);
 
--- a/include/figwinch/placement/worker_index.h
+++ b/include/figwinch/placement/worker_index.h
@@ -10,7 +10,7 @@
 
 namespace figwinch {
 
-/// A worker that takes tasks, as placement sees it.
+/// A worker that accepts tasks, with its total capacity and its free resources (`room`).
 struct worker_room {
     worker_id worker;
     rack_id rack;
@@ -19,20 +19,23 @@
     resources room;
 };
 
-/// Finds the worker that a task fits best. Owned by a scheduler; holds only the workers that the
-/// scheduler may start on, so that a decision doesn't grow with the workers of others.
+/// Finds the worker that fits a task best. Owned by a scheduler, and holds only the workers on
+/// which that scheduler may start tasks, so that the cost of a placement decision doesn't grow with
+/// the workers of other schedulers.
 class worker_index {
 public:
-    /// Extra cost of a worker for the task at hand, in fractions of a worker; below zero is better.
-    /// Empty: the worker must not take the task.
+    /// Returns a cost to add to the score of a worker for the current task, in fractions of the
+    /// worker's capacity; a negative cost makes the worker preferred. `std::nullopt` excludes the
+    /// worker.
     using cost_function = std::function<std::optional<double>(const worker_room&)>;
 
     void put(const worker_room& worker);
     void remove(const worker_id& worker);
-    /// The cheapest of the workers with the least free processors that hold `size`; nothing when
-    /// none has room. Looks at a bounded number of workers.
+    /// Returns the worker with the lowest total cost (the mean share that stays free, plus `cost`).
+    /// Searches workers in ascending order of free CPU and stops after a bounded number. Returns
+    /// `std::nullopt` if each worker searched is too small for `size` or excluded by `cost`.
     std::optional<worker_id> best_fit(const resources& size, const cost_function& cost) const;
-    /// Room of the worker with the most free processors; zero when there is no worker.
+    /// Free resources of the worker with the most free CPU; zero if the index is empty.
     resources largest_room() const;
     const worker_room* find(const worker_id& worker) const;
     std::size_t size() const { return workers_.size(); }
@@ -40,7 +43,7 @@
 
 private:
     std::unordered_map<worker_id, worker_room> workers_;
-    /// By free processors, least first.
+    /// Workers in ascending order of free CPU.
     std::set<std::pair<std::int64_t, worker_id>> by_room_;
 };
 
--- a/src/placement/candidate_index.cpp
+++ b/src/placement/candidate_index.cpp
@@ -5,9 +5,10 @@
 namespace figwinch {
 namespace {
 
-// Workers that differ by less are taken in turn.
+// Width of a bucket in thousandths of a core. Lookups rotate among the workers of one bucket.
 constexpr std::int64_t class_millis = 250;
-// Workers with more than 64 cores free are alike.
+// Number of buckets. Workers with about 64 cores (256 * 250 thousandths) or more share the last
+// one.
 constexpr std::size_t most_classes = 256;
 
 std::size_t class_of(std::int64_t millis) {
--- a/src/placement/shape_check.cpp
+++ b/src/placement/shape_check.cpp
@@ -15,7 +15,8 @@
                                     {"memory_mib", &resources::memory_mib},
                                     {"accelerators", &resources::accelerators}};
 
-/// By how much the task is too large for the worker, as the sum of its excess shares.
+/// How far the task exceeds the capacity of the worker: the sum, over the resources that are short,
+/// of the missing amount as a fraction of the request.
 double excess(const resources& size, const resources& capacity) {
     double sum = 0;
     for (const dimension& one : dimensions) {
@@ -33,8 +34,8 @@
             continue;
         text += text.empty() ? "" : ", ";
         text += one.name;
-        text += " is " + std::to_string(size.*one.value);
-        text += ", at most " + std::to_string(capacity.*one.value);
+        text += " " + std::to_string(size.*one.value);
+        text += " exceeds " + std::to_string(capacity.*one.value);
     }
     return text;
 }
@@ -57,9 +58,10 @@
         }
     }
     if (!nearest)
-        return shape_refusal{"no worker is declared in the data centres that may run the job", {}};
+        return shape_refusal{
+            "the manifest declares no worker in the data centres that may run the job", {}};
     std::string reason = broken_limits(size, nearest->capacity);
-    reason += "; nearest shape that exists: " + to_string(nearest->capacity);
+    reason += "; nearest worker shape: " + to_string(nearest->capacity);
     reason += " (" + nearest->name.str() + ")";
     return shape_refusal{std::move(reason), nearest->name};
 }
--- a/src/placement/worker_index.cpp
+++ b/src/placement/worker_index.cpp
@@ -5,8 +5,8 @@
 namespace figwinch {
 namespace {
 
-/// Workers with room that are compared for one task, and workers looked at in all: a decision stays
-/// at microseconds however many workers are held.
+/// Limits on one search: workers that can hold the task and are scored, and workers examined in
+/// all. They keep a placement decision within microseconds however many workers the index holds.
 constexpr int max_compared = 24;
 constexpr int max_visited = 512;
 
@@ -16,7 +16,8 @@
     return static_cast<double>(room - size) / static_cast<double>(capacity);
 }
 
-/// Mean share of the worker that stays free; accelerators count double, since they are scarce.
+/// Weighted mean share of the worker that stays free once the task is placed. Accelerators count
+/// double, since they are scarce.
 double left_over(const worker_room& worker, const resources& size) {
     const double cpu =
         share_left(worker.room.cpu_millis, size.cpu_millis, worker.capacity.cpu_millis);
--- a/tests/placement/candidate_index_test.cpp
+++ b/tests/placement/candidate_index_test.cpp
@@ -45,14 +45,14 @@
     }
 
 public:
-    /// Guards against tasks that pile up on some workers while others have room.
+    /// Guards against placing tasks on busy workers while others have more free CPU.
     void workers_with_most_room_come_first() {
         put(0, 1000);
         put(1, 9000);
         put(2, 4000);
         CPPUNIT_ASSERT((free_from(2000) == slots{1, 2}));
     }
-    /// Guards against a start on a worker of another pool.
+    /// Guards against starting a task on a worker of another service.
     void workers_of_other_services_arent_shown() {
         put(0, 1000);
         index_.put(1, {service_id("other"), 1000, 1000, {}});
@@ -60,7 +60,7 @@
         put(1, 1000);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, free_from(0).size());
     }
-    /// Guards against one worker that gets the first task of every step.
+    /// Guards against always offering the same worker first among workers with equal free CPU.
     void workers_alike_take_turns() {
         for (worker_slot worker = 0; worker < 4; ++worker)
             put(worker, 1000);
@@ -69,7 +69,8 @@
             first.insert(free_from(0, turn).front());
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, first.size());
     }
-    /// Guards against tasks that need a label or a rack and are looked for among all workers.
+    /// Guards against a lookup by rack or label that returns workers without that tag, including
+    /// a worker whose tag was removed.
     void a_tag_shows_its_workers_only() {
         const tag_number rack = index_.tag("rack r1");
         CPPUNIT_ASSERT_EQUAL(rack, index_.tag("rack r1"));
@@ -84,8 +85,8 @@
         index_.visit_tagged(service_, rack, 0, 0, into(seen));
         CPPUNIT_ASSERT(seen == slots{0});
     }
-    /// Guards against filling tasks that never reach workers with little left, where the neighbours
-    /// may be those that they slow least.
+    /// Guards against a sample that leaves out workers with little CPU left for best-effort tasks:
+    /// such a worker may run the services that a best-effort task slows least.
     void a_sample_spans_all_classes() {
         for (worker_slot worker = 0; worker < 100; ++worker)
             put(worker, worker < 50 ? 1000 : 9000);
@@ -95,14 +96,14 @@
             std::ranges::count_if(seen, [](worker_slot worker) { return worker < 50; });
         CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{5}, low);
     }
-    /// Guards against a small cell in which a worker is overlooked.
+    /// Guards against skipping a worker when the index holds no more workers than the sample size.
     void a_sample_of_few_shows_all() {
         for (worker_slot worker = 0; worker < 7; ++worker)
             put(worker, std::int64_t{1000} * worker);
         for (std::uint64_t turn = 0; turn < 9; ++turn)
             CPPUNIT_ASSERT_EQUAL(std::size_t{7}, sample(7, turn).size());
     }
-    /// Guards against starts on a worker that has left.
+    /// Guards against starting a task on a worker that was removed.
     void what_is_removed_isnt_shown() {
         put(0, 1000);
         put(1, 1000);
@@ -111,8 +112,8 @@
         CPPUNIT_ASSERT(free_from(0) == slots{1});
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, index_.size());
     }
-    /// Guards against workers that are lost from the index, or stand in it twice, after many moves
-    /// between classes.
+    /// Guards against workers that are lost or listed twice after many random insertions, removals
+    /// and moves between buckets.
     void changes_in_any_order_leave_the_same_index() {
         constexpr worker_slot workers = 40;
         std::uint64_t drawn = 1;
--- a/tests/placement/job_queue_test.cpp
+++ b/tests/placement/job_queue_test.cpp
@@ -41,8 +41,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("urgent service normal bulk "), visited());
     }
 
-    // One studio queues thousands of renders before its rival queues one. With a single line the
-    // rival would wait for all of them.
+    // Guards against starvation: in a first-come, first-served queue, a customer with one job would
+    // wait for the thousands of jobs that another customer queued earlier.
     void the_customer_that_uses_least_goes_first() {
         add("a1", "a", work_class::normal, 1);
         add("a2", "a", work_class::normal, 2);
--- a/tests/placement/shape_check_test.cpp
+++ b/tests/placement/shape_check_test.cpp
@@ -35,16 +35,15 @@
         CPPUNIT_ASSERT(!check_shape(config_, {1000, 1024, 2}, {}));
     }
 
-    // A script copied from an example asks for 64 cores. No worker has them, and without a refusal
-    // the job would wait for ever.
+    // Guards against a job that waits forever because it requests more cores (64) than any worker
+    // has (32).
     void a_refusal_names_the_limit_and_the_nearest_shape() {
         const auto refusal = check_shape(config_, {64000, 1024, 0}, {});
         CPPUNIT_ASSERT(refusal.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("large"), refusal->nearest.str());
-        CPPUNIT_ASSERT_EQUAL(
-            std::string("cpu_millis is 64000, at most 32000; nearest shape that exists: "
-                        "32000m/131072MiB/0acc (large)"),
-            refusal->reason);
+        CPPUNIT_ASSERT_EQUAL(std::string("cpu_millis 64000 exceeds 32000; nearest worker shape: "
+                                         "32000m/131072MiB/0acc (large)"),
+                             refusal->reason);
     }
 
     void only_allowed_data_centres_count() {
