--- a/include/figwinch/placement/candidate_index.h
+++ b/include/figwinch/placement/candidate_index.h
@@ -30,8 +30,8 @@
 
 /// Finds candidate workers for a task without scanning all of them. Workers are indexed by service,
 /// by free CPU in buckets, and by tag. The result is only approximate: the caller must check that a
-/// candidate can admit the task. The cost of a lookup is linear in the workers visited, that of an
-/// update in the tags of the worker. Owned by a coordinator.
+/// candidate can admit the task. A lookup takes time linear in the workers visited, an update in
+/// the tags of the worker. Owned by a coordinator.
 class candidate_index {
 public:
     /// Returns false to end the visit.
--- a/include/figwinch/placement/worker_index.h
+++ b/include/figwinch/placement/worker_index.h
@@ -10,7 +10,7 @@
 
 namespace figwinch {
 
-/// A worker that accepts tasks, with its total capacity and its free resources (`room`).
+/// A worker that accepts tasks, with its total capacity and its free resources.
 struct worker_room {
     worker_id worker;
     rack_id rack;
--- a/src/placement/candidate_index.cpp
+++ b/src/placement/candidate_index.cpp
@@ -7,8 +7,7 @@
 
 // Width of a bucket in thousandths of a core. Lookups rotate among the workers of one bucket.
 constexpr std::int64_t class_millis = 250;
-// Number of buckets. Workers with about 64 cores (256 * 250 thousandths) or more share the last
-// one.
+// The last bucket holds every worker with about 64 cores (256 * 250 thousandths) or more.
 constexpr std::size_t most_classes = 256;
 
 std::size_t class_of(std::int64_t millis) {
