--- a/bench/candidate_search.cpp
+++ b/bench/candidate_search.cpp
@@ -37,7 +37,8 @@
         const double by_sample = median_seconds(5, [&] {
             for (int search = 0; search < searches; ++search) {
                 left = most;
-                index.visit_fill(service, 2'000, most, static_cast<std::uint64_t>(search), visit);
+                index.visit_best_effort(service, 2'000, most, static_cast<std::uint64_t>(search),
+                                        visit);
             }
         });
         out.add("by sample", workers, by_sample * 1e6 / searches, "us");
--- a/bench/capacity_jobs.cpp
+++ b/bench/capacity_jobs.cpp
@@ -91,7 +91,7 @@
     std::uint64_t found = 0;
     for (int i = 0; i < decisions; ++i) {
         const resources size{.cpu_millis = core * (1 + i % 8), .memory_mib = 4096};
-        found += index.best_fit(size, [](const worker_room&) { return 0.0; }) ? 1U : 0U;
+        found += index.best_fit(size, [](const placement_worker&) { return 0.0; }) ? 1U : 0U;
     }
     return found;
 }
--- a/bench/placement_decision.cpp
+++ b/bench/placement_decision.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-std::optional<double> no_cost(const figwinch::worker_room&) {
+std::optional<double> no_cost(const figwinch::placement_worker&) {
     return 0;
 }
 
--- a/include/figwinch/placement/candidate_index.h
+++ b/include/figwinch/placement/candidate_index.h
@@ -23,7 +23,7 @@
     /// Free CPU for tasks that count against the capacity, in thousandths of a core.
     std::int64_t free_millis = 0;
     /// CPU left for best-effort tasks, in thousandths of a core. A negative value is indexed as 0.
-    std::int64_t fill_millis = 0;
+    std::int64_t best_effort_millis = 0;
     /// Labels of the worker, its rack, and the images of the serving tasks that run on it.
     std::vector<tag_number> tags;
 };
@@ -45,54 +45,55 @@
     void remove(worker_slot worker);
     std::size_t size() const { return size_; }
 
-    /// Visits workers in buckets from that of `least` free CPU (in thousandths of a core) upwards,
-    /// the bucket with the most free CPU first. `turn` selects the first worker within each bucket:
-    /// callers increase it to rotate among similar workers.
-    void visit_free(const service_id& service, std::int64_t least, std::uint64_t turn,
+    /// Visits workers in buckets from that of `min_millis` free CPU (in thousandths of a core)
+    /// upwards, the bucket with the most free CPU first. `rotation` selects the first worker within
+    /// each bucket: callers increase it to rotate among similar workers.
+    void visit_free(const service_id& service, std::int64_t min_millis, std::uint64_t rotation,
                     const visitor& visit) const;
     /// Like `visit_free`, but visits only workers that have the tag.
-    void visit_tagged(const service_id& service, tag_number tag, std::int64_t least,
-                      std::uint64_t turn, const visitor& visit) const;
-    /// Visits an evenly spaced sample of at most `most` workers from the buckets that leave at
-    /// least `least` CPU (in thousandths of a core) for best-effort tasks; visits all of them if
-    /// there are no more than `most`. `turn` selects the sample.
-    void visit_fill(const service_id& service, std::int64_t least, std::size_t most,
-                    std::uint64_t turn, const visitor& visit) const;
+    void visit_tagged(const service_id& service, tag_number tag, std::int64_t min_millis,
+                      std::uint64_t rotation, const visitor& visit) const;
+    /// Visits an evenly spaced sample of at most `max_count` workers from the buckets that leave at
+    /// least `min_millis` CPU (in thousandths of a core) for best-effort tasks; visits all of them
+    /// if there are no more than `max_count`. `rotation` selects the sample.
+    void visit_best_effort(const service_id& service, std::int64_t min_millis,
+                           std::size_t max_count, std::uint64_t rotation,
+                           const visitor& visit) const;
 
 private:
     /// Workers grouped in buckets by an amount of CPU.
-    class room_classes {
+    class cpu_buckets {
     public:
         void put(worker_slot worker, std::int64_t millis);
         void remove(worker_slot worker);
-        std::size_t count_from(std::int64_t least) const;
-        void visit(std::int64_t least, std::uint64_t turn, const visitor& visit) const;
-        void visit_sample(std::int64_t least, std::size_t most, std::uint64_t turn,
+        std::size_t count_at_least(std::int64_t min_millis) const;
+        void visit(std::int64_t min_millis, std::uint64_t rotation, const visitor& visit) const;
+        void visit_sample(std::int64_t min_millis, std::size_t max_count, std::uint64_t rotation,
                           const visitor& visit) const;
 
     private:
-        struct place {
-            std::size_t row = 0;
-            std::size_t at = 0;
+        struct position {
+            std::size_t bucket = 0;
+            std::size_t offset = 0;
         };
-        void take_out(const place& from);
+        void remove_entry(const position& from);
 
-        std::vector<std::vector<worker_slot>> rows_;
-        absl::flat_hash_map<worker_slot, place> places_;
+        std::vector<std::vector<worker_slot>> buckets_;
+        absl::flat_hash_map<worker_slot, position> positions_;
     };
-    struct service_rooms {
-        room_classes free;
-        room_classes fill;
-        absl::flat_hash_map<tag_number, room_classes> tagged;
+    struct service_index {
+        cpu_buckets free;
+        cpu_buckets best_effort;
+        absl::flat_hash_map<tag_number, cpu_buckets> tagged;
     };
 
-    void take_out(worker_slot worker, const worker_offer& offer);
+    void remove_entry(worker_slot worker, const worker_offer& offer);
 
     absl::flat_hash_map<std::string, tag_number> tags_;
-    absl::flat_hash_map<service_id, service_rooms> services_;
-    /// Indexed by slot; `listed_` tells which slots are in use.
+    absl::flat_hash_map<service_id, service_index> services_;
+    /// Indexed by slot; `in_use_` tells which slots are in use.
     std::vector<worker_offer> offers_;
-    std::vector<bool> listed_;
+    std::vector<bool> in_use_;
     std::size_t size_ = 0;
 };
 
--- a/include/figwinch/placement/worker_index.h
+++ b/include/figwinch/placement/worker_index.h
@@ -11,12 +11,12 @@
 namespace figwinch {
 
 /// A worker that accepts tasks, with its total capacity and its free resources.
-struct worker_room {
+struct placement_worker {
     worker_id worker;
     rack_id rack;
     std::string host;
     resources capacity;
-    resources room;
+    resources free_resources;
 };
 
 /// Finds the worker that fits a task best. Owned by a scheduler, and holds only the workers on
@@ -27,9 +27,9 @@
     /// Returns a cost to add to the score of a worker for the current task, in fractions of the
     /// worker's capacity; a negative cost makes the worker preferred. `std::nullopt` excludes the
     /// worker.
-    using cost_function = std::function<std::optional<double>(const worker_room&)>;
+    using cost_function = std::function<std::optional<double>(const placement_worker&)>;
 
-    void put(const worker_room& worker);
+    void put(const placement_worker& worker);
     void remove(const worker_id& worker);
     /// Returns the worker with the lowest total cost (the mean share that stays free, plus `cost`).
     /// Searches workers in ascending order of free CPU and stops after a bounded number. Returns
@@ -37,14 +37,14 @@
     std::optional<worker_id> best_fit(const resources& size, const cost_function& cost) const;
     /// Free resources of the worker with the most free CPU; zero if the index is empty.
     resources largest_room() const;
-    const worker_room* find(const worker_id& worker) const;
+    const placement_worker* find(const worker_id& worker) const;
     std::size_t size() const { return workers_.size(); }
-    const std::unordered_map<worker_id, worker_room>& workers() const { return workers_; }
+    const std::unordered_map<worker_id, placement_worker>& workers() const { return workers_; }
 
 private:
-    std::unordered_map<worker_id, worker_room> workers_;
+    std::unordered_map<worker_id, placement_worker> workers_;
     /// Workers in ascending order of free CPU.
-    std::set<std::pair<std::int64_t, worker_id>> by_room_;
+    std::set<std::pair<std::int64_t, worker_id>> by_free_cpu_;
 };
 
 } // namespace figwinch
--- a/src/cell/coordinator_candidates.cpp
+++ b/src/cell/coordinator_candidates.cpp
@@ -70,7 +70,7 @@
         return index_.remove(worker.slot);
     worker.offer.service = worker.listing.service;
     worker.offer.free_millis = worker.listing.capacity.cpu_millis - worker.taken.cpu_millis;
-    worker.offer.fill_millis = left_to_fill(worker);
+    worker.offer.best_effort_millis = left_to_fill(worker);
     index_.put(worker.slot, worker.offer);
 }
 
@@ -123,7 +123,7 @@
     // Lasting tasks that fill are taken wherever their memory fits.
     const std::int64_t least_left = spec.lasting ? 0 : spec.size.cpu_millis;
     if (spec.filling)
-        index_.visit_fill(job.service, least_left, most_met, searches_, visit);
+        index_.visit_best_effort(job.service, least_left, most_met, searches_, visit);
     else
         index_.visit_free(job.service, least, searches_, visit);
 }
--- a/src/placement/job_queue.cpp
+++ b/src/placement/job_queue.cpp
@@ -27,35 +27,35 @@
 void job_queue::add(const job_key& job, const customer_id& customer, work_class job_class,
                     std::uint64_t age) {
     const std::size_t rank = rank_of(job_class);
-    if (!places_.try_emplace(job, place{customer, rank, age}).second)
+    if (!entries_.try_emplace(job, entry{customer, rank, age}).second)
         return;
     class_queue& queue = classes_[rank];
     ordered_jobs& jobs = queue.jobs[customer];
     if (jobs.empty())
-        queue.order.insert({usage(customer), customer});
+        queue.customers.insert({usage(customer), customer});
     jobs.insert({age, job});
 }
 
 void job_queue::remove(const job_key& job) {
-    const auto known = places_.find(job);
-    if (known == places_.end())
+    const auto known = entries_.find(job);
+    if (known == entries_.end())
         return;
-    const place at = known->second;
-    places_.erase(known);
-    class_queue& queue = classes_[at.rank];
-    const auto jobs = queue.jobs.find(at.customer);
-    jobs->second.erase({at.age, job});
+    const entry removed = known->second;
+    entries_.erase(known);
+    class_queue& queue = classes_[removed.rank];
+    const auto jobs = queue.jobs.find(removed.customer);
+    jobs->second.erase({removed.age, job});
     if (!jobs->second.empty())
         return;
-    queue.order.erase({usage(at.customer), at.customer});
+    queue.customers.erase({usage(removed.customer), removed.customer});
     queue.jobs.erase(jobs);
 }
 
 void job_queue::set_usage(const customer_id& customer, double value) {
     const double before = usage(customer);
     for (class_queue& queue : classes_) {
-        if (queue.order.erase({before, customer}) > 0)
-            queue.order.insert({value, customer});
+        if (queue.customers.erase({before, customer}) > 0)
+            queue.customers.insert({value, customer});
     }
     usage_[customer] = value;
 }
@@ -63,14 +63,14 @@
 void job_queue::visit(std::size_t limit, const visitor& call) const {
     std::size_t visited = 0;
     for (const class_queue& queue : classes_) {
-        for (const auto& [value, customer] : queue.order) {
+        for (const auto& [value, customer] : queue.customers) {
             for (const auto& [age, job] : queue.jobs.at(customer)) {
                 if (visited++ >= limit)
                     return;
-                const verdict found = call(job);
-                if (found == verdict::stop)
+                const visit_result found = call(job);
+                if (found == visit_result::stop)
                     return;
-                if (found == verdict::next_customer)
+                if (found == visit_result::next_customer)
                     break;
             }
         }
--- a/src/placement/shape_check.cpp
+++ b/src/placement/shape_check.cpp
@@ -27,7 +27,7 @@
     return sum;
 }
 
-std::string broken_limits(const resources& size, const resources& capacity) {
+std::string exceeded_limits(const resources& size, const resources& capacity) {
     std::string text;
     for (const dimension& one : dimensions) {
         if (size.*one.value <= capacity.*one.value)
@@ -45,22 +45,22 @@
 std::optional<shape_refusal> check_shape(const manifest& config, const resources& size,
                                          const std::vector<data_centre_id>& allowed) {
     const worker_spec* nearest = nullptr;
-    double least = std::numeric_limits<double>::infinity();
+    double least_excess = std::numeric_limits<double>::infinity();
     for (const worker_spec& worker : config.workers) {
         if (!allowed.empty() && std::ranges::find(allowed, worker.data_centre) == allowed.end())
             continue;
         if (fits(size, worker.capacity))
             return std::nullopt;
         const double over = excess(size, worker.capacity);
-        if (over < least) {
-            least = over;
+        if (over < least_excess) {
+            least_excess = over;
             nearest = &worker;
         }
     }
     if (!nearest)
         return shape_refusal{
             "the manifest declares no worker in the data centres that may run the job", {}};
-    std::string reason = broken_limits(size, nearest->capacity);
+    std::string reason = exceeded_limits(size, nearest->capacity);
     reason += "; nearest worker shape: " + to_string(nearest->capacity);
     reason += " (" + nearest->name.str() + ")";
     return shape_refusal{std::move(reason), nearest->name};
--- a/src/placement/worker_index.cpp
+++ b/src/placement/worker_index.cpp
@@ -7,72 +7,73 @@
 
 /// Limits on one search: workers that can hold the task and are scored, and workers examined in
 /// all. They keep a placement decision within microseconds however many workers the index holds.
-constexpr int max_compared = 24;
+constexpr int max_scored = 24;
 constexpr int max_visited = 512;
 
-double share_left(std::int64_t room, std::int64_t size, std::int64_t capacity) {
+double free_share(std::int64_t available, std::int64_t size, std::int64_t capacity) {
     if (capacity == 0)
         return 0;
-    return static_cast<double>(room - size) / static_cast<double>(capacity);
+    return static_cast<double>(available - size) / static_cast<double>(capacity);
 }
 
 /// Weighted mean share of the worker that stays free once the task is placed. Accelerators count
 /// double, since they are scarce.
-double left_over(const worker_room& worker, const resources& size) {
+double free_share_after(const placement_worker& worker, const resources& size) {
     const double cpu =
-        share_left(worker.room.cpu_millis, size.cpu_millis, worker.capacity.cpu_millis);
+        free_share(worker.free_resources.cpu_millis, size.cpu_millis, worker.capacity.cpu_millis);
     const double memory =
-        share_left(worker.room.memory_mib, size.memory_mib, worker.capacity.memory_mib);
-    const double accelerators =
-        share_left(worker.room.accelerators, size.accelerators, worker.capacity.accelerators);
+        free_share(worker.free_resources.memory_mib, size.memory_mib, worker.capacity.memory_mib);
+    const double accelerators = free_share(worker.free_resources.accelerators, size.accelerators,
+                                           worker.capacity.accelerators);
     return (cpu + memory + 2 * accelerators) / 4;
 }
 
 } // namespace
 
-void worker_index::put(const worker_room& worker) {
-    const auto [place, inserted] = workers_.try_emplace(worker.worker, worker);
+void worker_index::put(const placement_worker& worker) {
+    const auto [entry, inserted] = workers_.try_emplace(worker.worker, worker);
     if (!inserted) {
-        by_room_.erase({place->second.room.cpu_millis, worker.worker});
-        place->second = worker;
+        by_free_cpu_.erase({entry->second.free_resources.cpu_millis, worker.worker});
+        entry->second = worker;
     }
-    by_room_.insert({worker.room.cpu_millis, worker.worker});
+    by_free_cpu_.insert({worker.free_resources.cpu_millis, worker.worker});
 }
 
 void worker_index::remove(const worker_id& worker) {
-    const auto place = workers_.find(worker);
-    if (place == workers_.end())
+    const auto entry = workers_.find(worker);
+    if (entry == workers_.end())
         return;
-    by_room_.erase({place->second.room.cpu_millis, worker});
-    workers_.erase(place);
+    by_free_cpu_.erase({entry->second.free_resources.cpu_millis, worker});
+    workers_.erase(entry);
 }
 
 resources worker_index::largest_room() const {
-    return by_room_.empty() ? resources{} : workers_.at(by_room_.rbegin()->second).room;
+    return by_free_cpu_.empty() ? resources{}
+                                : workers_.at(by_free_cpu_.rbegin()->second).free_resources;
 }
 
-const worker_room* worker_index::find(const worker_id& worker) const {
-    const auto place = workers_.find(worker);
-    return place == workers_.end() ? nullptr : &place->second;
+const placement_worker* worker_index::find(const worker_id& worker) const {
+    const auto entry = workers_.find(worker);
+    return entry == workers_.end() ? nullptr : &entry->second;
 }
 
 std::optional<worker_id> worker_index::best_fit(const resources& size,
                                                 const cost_function& cost) const {
     std::optional<worker_id> best;
     double best_cost = 0;
-    int compared = 0;
+    int scored = 0;
     int visited = 0;
-    for (auto place = by_room_.lower_bound({size.cpu_millis, worker_id{}});
-         place != by_room_.end() && compared < max_compared && visited < max_visited;
-         ++place, ++visited) {
-        const worker_room& worker = workers_.at(place->second);
-        if (!fits(size, worker.room))
+    for (auto entry = by_free_cpu_.lower_bound({size.cpu_millis, worker_id{}});
+         entry != by_free_cpu_.end() && scored < max_scored && visited < max_visited;
+         ++entry, ++visited) {
+        const placement_worker& worker = workers_.at(entry->second);
+        if (!fits(size, worker.free_resources))
             continue;
         const std::optional<double> extra = cost(worker);
         if (!extra)
             continue;
-        ++compared;
-        const double total = left_over(worker, size) + *extra;
+        ++scored;
+        const double total = free_share_after(worker, size) + *extra;
         if (!best || total < best_cost) {
             best = worker.worker;
             best_cost = total;
--- a/src/scheduler/core_moves.cpp
+++ b/src/scheduler/core_moves.cpp
@@ -54,7 +54,7 @@
         peer_rooms_, [&size](const auto& peer) { return fits(size, peer.second); });
     if (!offered)
         return false;
-    const auto any = [](const worker_room&) { return std::optional<double>(0); };
+    const auto any = [](const placement_worker&) { return std::optional<double>(0); };
     return !index_.best_fit(size, any);
 }
 
--- a/src/scheduler/core_placement.cpp
+++ b/src/scheduler/core_placement.cpp
@@ -48,7 +48,7 @@
     std::vector<job_key> emptied;
     std::set<customer_id> touched;
     queue_.visit(with_.max_visits, [&](const job_key& key) {
-        const job_queue::verdict found = place_job(key, too_large, now);
+        const job_queue::visit_result found = place_job(key, too_large, now);
         const job_entry* job = book_.find(key);
         if (!job || job->queued.empty())
             emptied.push_back(key);
@@ -62,11 +62,11 @@
         update_usage(customer);
 }
 
-job_queue::verdict scheduler_core::place_job(const job_key& key, std::vector<resources>& too_large,
-                                             instant now) {
+job_queue::visit_result scheduler_core::place_job(const job_key& key,
+                                                  std::vector<resources>& too_large, instant now) {
     job_entry* job = book_.find(key);
     if (!job || job->leaving || job->over())
-        return job_queue::verdict::next_job;
+        return job_queue::visit_result::next_job;
     const customer_id customer(job->spec.customer());
     const resources declared = size_of(job->spec);
     const template_id copied_from(job->spec.template_name());
@@ -74,20 +74,20 @@
         policies_.sizes ? policies_.sizes->commit_size(customer, copied_from, declared) : declared;
     while (!job->queued.empty()) {
         if (over_quota(customer, size))
-            return job_queue::verdict::next_customer;
+            return job_queue::visit_result::next_customer;
         const bool known_too_large = std::ranges::any_of(
             too_large, [&size](const resources& failed) { return fits(failed, size); });
         if (known_too_large)
-            return job_queue::verdict::next_job;
+            return job_queue::visit_result::next_job;
         if (!pacer_.take(now))
-            return job_queue::verdict::stop;
+            return job_queue::visit_result::stop;
         const placing outcome = place_task(*job, *job->queued.begin(), size, now);
         if (outcome == placing::no_room)
             too_large.push_back(size);
         if (outcome != placing::placed)
-            return job_queue::verdict::next_job;
+            return job_queue::visit_result::next_job;
     }
-    return job_queue::verdict::next_job;
+    return job_queue::visit_result::next_job;
 }
 
 scheduler_core::placing scheduler_core::place_task(job_entry& job, int index, const resources& size,
@@ -95,7 +95,7 @@
     const task_id task = make_task_id(job.key, index);
     // A task that may run on no worker with room must not keep others of its size waiting.
     placing failing = placing::no_room;
-    const auto cost = [&](const worker_room& room) -> std::optional<double> {
+    const auto cost = [&](const placement_worker& room) -> std::optional<double> {
         if (!leases_.may_start(room.worker, now))
             return std::nullopt;
         if (policies_.failures && !policies_.failures->would_admit(room.worker, now))
--- a/src/scheduler/scheduler_core.h
+++ b/src/scheduler/scheduler_core.h
@@ -148,8 +148,8 @@
 
     // Placement (core_placement.cpp)
     void place(instant now);
-    job_queue::verdict place_job(const job_key& key, std::vector<resources>& too_large,
-                                 instant now);
+    job_queue::visit_result place_job(const job_key& key, std::vector<resources>& too_large,
+                                      instant now);
     enum class placing {
         placed,
         /// No worker has room for the size; nor has it for a larger one.
--- a/tests/placement/job_queue_test.cpp
+++ b/tests/placement/job_queue_test.cpp
@@ -28,7 +28,7 @@
         std::string order;
         queue_.visit(100, [&order](const job_key& job) {
             order += job.str() + ' ';
-            return job_queue::verdict::next_job;
+            return job_queue::visit_result::next_job;
         });
         return order;
     }
@@ -71,7 +71,7 @@
         std::string order;
         queue_.visit(100, [&order](const job_key& job) {
             order += job.str() + ' ';
-            return job_queue::verdict::next_customer;
+            return job_queue::visit_result::next_customer;
         });
         CPPUNIT_ASSERT_EQUAL(std::string("a1 b1 "), order);
     }
--- a/tests/placement/worker_index_test.cpp
+++ b/tests/placement/worker_index_test.cpp
@@ -11,19 +11,19 @@
 class worker_index_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(worker_index_test);
     CPPUNIT_TEST(the_fullest_worker_that_fits_is_taken);
-    CPPUNIT_TEST(workers_with_accelerators_are_kept_for_those_who_need_them);
+    CPPUNIT_TEST(workers_with_accelerators_are_kept_for_tasks_that_need_them);
     CPPUNIT_TEST(a_choice_always_fits_in_every_dimension);
     CPPUNIT_TEST_SUITE_END();
 
     worker_index index_;
 
-    void put(const std::string& name, const resources& capacity, const resources& room) {
-        index_.put({worker_id(name), rack_id("r"), name, capacity, room});
+    void put(const std::string& name, const resources& capacity, const resources& free_resources) {
+        index_.put({worker_id(name), rack_id("r"), name, capacity, free_resources});
     }
 
     std::string pick(const resources& size) const {
         const auto best =
-            index_.best_fit(size, [](const worker_room&) { return std::optional<double>(0); });
+            index_.best_fit(size, [](const placement_worker&) { return std::optional<double>(0); });
         return best ? best->str() : "";
     }
 
@@ -37,7 +37,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string(), pick({2000, 1000, 1}));
     }
 
-    void workers_with_accelerators_are_kept_for_those_who_need_them() {
+    void workers_with_accelerators_are_kept_for_tasks_that_need_them() {
         put("plain", {16000, 16000, 0}, {16000, 16000, 0});
         put("accelerated", {16000, 16000, 2}, {16000, 16000, 2});
         CPPUNIT_ASSERT_EQUAL(std::string("plain"), pick({2000, 1000, 0}));
@@ -56,7 +56,7 @@
             const resources size{number(16000), number(16000), number(4)};
             const std::string chosen = pick(size);
             if (!chosen.empty())
-                CPPUNIT_ASSERT(fits(size, index_.find(worker_id(chosen))->room));
+                CPPUNIT_ASSERT(fits(size, index_.find(worker_id(chosen))->free_resources));
         }
     }
 };
