--- a/src/placement/shape_check.cpp
+++ b/src/placement/shape_check.cpp
@@ -34,7 +34,7 @@
             continue;
         text += text.empty() ? "" : ", ";
         text += one.name;
-        text += " " + std::to_string(size.*one.value);
+        text += " of " + std::to_string(size.*one.value);
         text += " exceeds " + std::to_string(capacity.*one.value);
     }
     return text;
