--- a/include/figwinch/jobs.h
+++ b/include/figwinch/jobs.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Library `jobs`: the fold of the log's jobs stream, what an owner knows of its tasks, and when
-/// the tasks of a dead owner may start again. No I/O.
+/// Library `jobs`: builds the job state from the log's `jobs` stream, tracks the tasks of the jobs
+/// that a scheduler owns, and decides when the tasks of a failed owner may be restarted. No I/O.
 
 #include "figwinch/jobs/job_book.h"
 #include "figwinch/jobs/job_fold.h"
--- a/include/figwinch/jobs/job_book.h
+++ b/include/figwinch/jobs/job_book.h
@@ -12,14 +12,15 @@
 
 namespace figwinch {
 
-/// An attempt that is to be stopped.
+/// A task attempt that must be stopped, and the worker that runs it.
 struct attempt_place {
     task_id task;
     attempt_number attempt;
     worker_id worker;
 };
 
-/// Where and when an attempt was begun or seen, and what it holds of the worker.
+/// The worker, lease epoch and time at which an attempt was started or first observed, and the
+/// resources that it reserves on that worker.
 struct attempt_site {
     worker_id worker;
     lease_epoch epoch;
@@ -27,39 +28,44 @@
     instant now{};
 };
 
-/// The jobs that one process owns, with the state of each task. Owned by a scheduler.
+/// The jobs that one scheduler process owns, with the state of each task.
 ///
-/// Guards against a task in two places: a new attempt begins only from `queued`, and a task is
-/// queued only when its newest attempt is known to be over. Attempt numbers only grow, over owners
-/// too: they begin above the log offset by which the owner got the job.
+/// Prevents a task from running twice at the same time: an attempt starts only from the phase
+/// `queued`, and a task is queued only when its newest attempt is known to have ended. Attempt
+/// numbers increase monotonically, also across owners: each owner's numbers start above a base
+/// derived from the log offset of the record that made it the owner.
 class job_book {
 public:
-    /// Takes up a job from the log. `fenced_off`: an earlier owner may still have attempts running.
+    /// Adds a job from its logged state. `fenced_off`: attempts started by a previous owner may
+    /// still be running, so no task may start until `lift_fence`.
     job_entry& add(const job_record& job, bool fenced_off);
     void remove(const job_key& key);
     job_entry* find(const job_key& key);
     const job_entry* find(const job_key& key) const;
     const std::unordered_map<job_key, job_entry>& entries() const { return entries_; }
 
-    /// Begins the next attempt of a queued task.
+    /// Starts the next attempt of a queued task and returns its number.
     attempt_number begin(job_entry& job, int index, const attempt_site& site);
-    /// An attempt runs that this process did not begin, or began before it lost the worker.
+    /// Handles a running attempt that this process did not start, or that it started before it lost
+    /// the lease of the worker.
     void note_found(const task_id& task, attempt_number attempt, const attempt_site& site);
-    /// The newest attempt ended; empty when the report is about an older one or a job of others.
-    /// The record is to be written to the log.
+    /// Handles a worker's report that an attempt ended. Returns the record to append to the log, or
+    /// nothing if the attempt is outdated or the job is not owned by this process.
     std::optional<pb::TaskEnded> note_ended(const pb::EndedTask& report, const worker_id& worker,
                                             bool failed_for_good);
-    /// The attempt is over without a report; false when it isn't the newest.
+    /// Handles an attempt that ended without a report from its worker. Returns false if it is not
+    /// the newest active attempt of the task.
     bool note_gone(const task_id& task, attempt_number attempt);
-    /// Nothing of earlier owners can run any more.
+    /// Unblocks the job's tasks: no attempt of a previous owner can be running any more.
     void lift_fence(const job_key& key);
-    /// Ends every task of the job; returns the attempts to be stopped.
+    /// Marks the job cancelled and its queued tasks done; returns the active attempts, which the
+    /// caller must stop.
     std::vector<attempt_place> cancel(const job_key& key);
-    /// The slot of a task of an owned job, or null.
+    /// The state of a task of an owned job, or null if this process does not own the job.
     const task_slot* slot(const task_id& task) const;
-    /// Active tasks by the worker that they are on.
+    /// The active tasks of each worker.
     const std::map<worker_id, std::set<task_id>>& active_on() const { return active_on_; }
-    /// What the customer's active tasks hold.
+    /// The resources reserved by the customer's active tasks.
     resources active_of(const customer_id& customer) const;
 
 private:
@@ -73,7 +79,8 @@
     std::unordered_map<customer_id, resources> active_of_;
 };
 
-/// How far attempt numbers of consecutive owners lie apart.
+/// An owner's attempt numbers start above its log offset shifted left by this many bits, so the
+/// numbers of consecutive owners are at least 2^16 apart.
 inline constexpr int attempts_per_owner_bits = 16;
 
 } // namespace figwinch
--- a/include/figwinch/jobs/job_entry.h
+++ b/include/figwinch/jobs/job_entry.h
@@ -11,7 +11,7 @@
 namespace figwinch {
 
 enum class task_phase {
-    /// An earlier owner may have an attempt running; nothing may start.
+    /// An attempt started by a previous owner may still be running, so no new attempt may start.
     blocked,
     queued,
     /// An attempt is starting, running or being stopped.
@@ -19,42 +19,43 @@
     done,
 };
 
-/// A task as the owner of its job sees it.
+/// The state of one task in the scheduler that owns its job.
 struct task_slot {
     task_phase phase = task_phase::queued;
-    /// The newest attempt that was begun or seen.
+    /// The newest attempt that was started, observed on a worker or reported as ended.
     attempt_number attempt;
-    /// Where that attempt is or was.
+    /// The worker that runs or ran that attempt.
     worker_id worker;
-    /// Epoch of the worker's lease under which it was begun or seen.
+    /// Epoch of the worker's lease under which that attempt was started or observed.
     lease_epoch epoch;
-    /// When this process began or first saw it.
+    /// When this process started or first observed that attempt.
     instant since{};
-    /// What it holds of the worker while active.
+    /// The resources reserved on the worker while the task is active.
     resources committed;
-    /// From the newest ended attempt that had one; the next attempt resumes from it.
+    /// Checkpoint of the newest ended attempt that reported one; the next attempt resumes from it.
     std::string checkpoint;
     attempt_number checkpoint_of;
     bool failed = false;
 };
 
-/// A job that this process owns. Owned by `job_book`.
+/// A job that this scheduler process owns, with its tasks. Held in `job_book`.
 struct job_entry {
     job_key key;
     pb::JobSpec spec;
     std::vector<task_slot> tasks;
     std::set<int> queued;
     int active = 0;
-    /// When this process took the job up.
+    /// When this process became the owner of the job.
     instant taken_up_at{};
     int blocked = 0;
     int done = 0;
     bool cancelled = false;
-    /// While true, tasks that end go back to `blocked`.
+    /// Attempts of a previous owner may still be running. While true, a task whose attempt ends and
+    /// that must run again becomes `blocked` instead of `queued`.
     bool fenced_off = false;
-    /// A record that gives the job away has been written; nothing starts any more.
+    /// A record that moves the job to another scheduler has been written; no attempt may start.
     bool leaving = false;
-    /// New attempts are numbered above this.
+    /// Attempts started by this owner have numbers above this one.
     attempt_number attempt_base;
 
     bool over() const { return cancelled || done == static_cast<int>(tasks.size()); }
--- a/include/figwinch/jobs/job_fold.h
+++ b/include/figwinch/jobs/job_fold.h
@@ -12,7 +12,7 @@
 
 namespace figwinch {
 
-/// Hears what a record changed, after the change.
+/// Is notified of the changes that a log record made to the jobs, after they are applied.
 class job_fold_listener {
 public:
     virtual ~job_fold_listener() = default;
@@ -21,45 +21,50 @@
     virtual void on_cancelled(const job_record& job) = 0;
     virtual void on_owner_changed(const job_record& job, const incarnation_id& previous,
                                   bool taken_over) = 0;
-    /// After the calls for each job. `handed_over`: by the previous owner itself.
+    /// Called once per take-over record, after `on_owner_changed` for each of its jobs.
+    /// `handed_over`: the previous owner wrote the record itself.
     virtual void on_taken_over(const incarnation_id& previous, log_offset record,
                                bool handed_over) = 0;
 };
 
-/// The state of all jobs by the records of the jobs stream, in log order. Every process that folds
-/// the same records holds the same state.
+/// The state of all jobs, built by applying the records of the `jobs` stream in log order. Every
+/// process that applies the same records computes the same state.
 ///
-/// Guards: a record whose acknowledgement was lost is appended twice, and each writer numbers its
-/// records (`<incarnation>:<number>`), so a number that isn't newer is skipped. A writer that was
-/// taken over while it was frozen goes on writing; all that it writes after the take-over is
-/// skipped, since the new owner can't know of it.
+/// Two kinds of records are ignored. Duplicates: a scheduler appends a record again if the
+/// acknowledgement of the append was lost. Each writer numbers its records
+/// (`<incarnation>:<number>`), and a number that is not above the writer's last one is skipped.
+/// Stale writers: a scheduler whose jobs were taken over while it was suspended may resume and
+/// continue writing. Its records after the take-over are skipped, because its successor has not
+/// seen them.
 class job_fold {
 public:
-    /// Of the jobs that are done, the newest `keep_done` are remembered, besides those that the
-    /// manifest declares (`job_record::is_kept_when_done`).
+    /// Retains the newest `keep_done` done jobs, and also all jobs that the manifest declares
+    /// (`job_record::is_kept_when_done`).
     explicit job_fold(job_fold_listener* listener = nullptr, std::size_t keep_done = 5'000)
         : listener_(listener), keep_done_(keep_done) {}
 
-    /// Folds one record; payloads that can't be parsed change nothing.
+    /// Applies one record. Records at or before `position()` and payloads that can't be parsed as a
+    /// `JobBatch` change no job.
     void apply(log_offset offset, const std::string& payload);
 
-    /// The last record that was folded.
+    /// Offset of the last applied record.
     log_offset position() const { return position_; }
-    /// Null when no such job is known.
+    /// The job, or null if it is unknown.
     const job_record* find(const job_key& key) const;
     const std::unordered_map<job_key, job_record>& jobs() const { return jobs_; }
-    /// Jobs of one owner; empty when it has none.
+    /// Keys of the jobs that a scheduler owns; empty if it owns none.
     const std::set<job_key>& jobs_of(const incarnation_id& owner) const;
-    /// Owners that have jobs.
+    /// The schedulers that own at least one job, sorted.
     std::vector<incarnation_id> owners() const;
     bool was_taken_over(const incarnation_id& owner) const { return successors_.contains(owner); }
-    /// The data centre that a writer gave; empty when it has written nothing.
+    /// The data centre that a writer's records name; empty if it has written none.
     data_centre_id data_centre_of(const incarnation_id& writer) const;
-    /// The newest record number of a writer; 0 when none.
+    /// The highest record number of a writer; 0 if it has written none.
     std::uint64_t last_number(const incarnation_id& writer) const;
-    /// Jobs of a customer that are not done.
+    /// Number of the customer's jobs that are not done.
     std::int64_t open_jobs_of(const customer_id& customer) const;
-    /// Starts with the record `first`, because older ones have expired. Only before the first fold.
+    /// Starts at the offset `first` because older records have expired from the log. Must be called
+    /// before the first `apply`.
     void begin_at(log_offset first);
 
 private:
@@ -92,11 +97,12 @@
     std::unordered_map<incarnation_id, writer_state> writers_;
     std::unordered_map<incarnation_id, incarnation_id> successors_;
     std::size_t keep_done_;
-    /// Done jobs that may be forgotten, oldest first.
+    /// Done jobs that may be evicted, oldest first.
     std::deque<job_key> done_;
 };
 
-/// One job's whole state as a record, for the time when its first records expire.
+/// The complete state of a job as a record. The owner appends it before the job's older records
+/// expire from the log.
 pb::JobSnapshot make_snapshot(const job_record& job);
 
 } // namespace figwinch
--- a/include/figwinch/jobs/job_key.h
+++ b/include/figwinch/jobs/job_key.h
@@ -7,24 +7,25 @@
 
 namespace figwinch {
 
-/// A job among all customers, `<customer>/<job>`; neither part holds a slash.
+/// Key of a job, unique across customers: `<customer>/<job>`. Neither part contains a slash.
 using job_key = strong_string<struct job_key_tag>;
 
 job_key make_job_key(std::string_view customer, std::string_view job);
-/// Whether a customer or job name may be part of a key: not empty, no slash.
+/// Whether a customer name or job id can be part of a job key: not empty and without a slash.
 bool is_key_part(std::string_view name);
 
-/// One task of a job.
+/// Identifies a task by its job and its index in the job.
 struct task_name {
     job_key job;
     int index = 0;
 };
 
-/// `<customer>/<job>/<index>`, as workers know the task.
+/// The task id that workers receive and report: `<customer>/<job>/<index>`.
 task_id make_task_id(const job_key& job, int index);
 std::optional<task_name> parse_task_id(std::string_view task);
 
-/// Ids of jobs that the manifest declares begin with this; callers can't choose such ids.
+/// Prefix of the ids of jobs that the manifest declares. Jobs submitted through the API can't use
+/// it.
 constexpr std::string_view manifest_job_prefix = "manifest:";
 
 bool is_manifest_job_id(std::string_view id);
--- a/src/jobs/job_book.cpp
+++ b/src/jobs/job_book.cpp
@@ -130,7 +130,7 @@
     task_slot& slot = job->tasks[static_cast<std::size_t>(name->index)];
     if (slot.phase == task_phase::done || attempt < slot.attempt)
         return;
-    // An equal number that isn't active has ended by the log already; this sighting is older.
+    // The log already records the end of this attempt, so the observation is out of date.
     if (attempt == slot.attempt && slot.phase != task_phase::active)
         return;
     if (attempt == slot.attempt && site.worker == slot.worker) {
--- a/src/jobs/job_fold.cpp
+++ b/src/jobs/job_fold.cpp
@@ -217,8 +217,8 @@
     return open == open_jobs_.end() ? 0 : open->second;
 }
 
-// By count and in log order, so that every process forgets the same job at the same record; a later
-// submission of its id is then new to all of them, or to none.
+// Evicts done jobs by count and in log order, so that every process evicts the same job at the same
+// record. A later submission with the same id is then a new job in all processes or in none.
 void job_fold::forget_later(const job_key& key) {
     done_.push_back(key);
     if (done_.size() <= keep_done_)
--- a/tests/jobs/job_fold_test.cpp
+++ b/tests/jobs/job_fold_test.cpp
@@ -68,8 +68,9 @@
 
     const job_record& album() const { return *fold_.find(job_key("studio/album")); }
 
-    // A job moves from A to B and back. The acknowledgement of A's record was lost, so A appended
-    // it twice; the copy arrives last and would give the job away again.
+    // Guards against applying a duplicate record. A job moves from scheduler A to B and back. The
+    // acknowledgement of A's append was lost, so A appended the record again; the duplicate comes
+    // last in the log and would move the job to B a second time.
     void a_record_that_is_appended_twice_counts_once() {
         apply("a#1", 1, accepted("album"));
         apply("a#1", 2, moved("album", "b#1"));
@@ -78,8 +79,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("a#1"), album().owner.str());
     }
 
-    // A scheduler is frozen, its jobs are taken over, and it wakes and goes on writing. The new
-    // owner can't know of what it writes now.
+    // Guards against records of a stale owner. A scheduler is suspended, its jobs are taken over,
+    // and it resumes and continues writing. Its successor has not seen what it writes now.
     void a_writer_that_was_taken_over_is_ignored() {
         apply("a#1", 1, accepted("album"));
         apply("b#1", 1, takeover("a#1", "b#1"));
@@ -99,8 +100,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("c#1"), album().owner.str());
     }
 
-    // Every scheduler dies after the log has dropped the job's first records. A process that starts
-    // now reads only the snapshot.
+    // Guards against losing a job when its first records expire from the log. All schedulers fail
+    // afterwards, and a process that starts then can read only the snapshot.
     void a_snapshot_restores_a_job_whose_records_expired() {
         apply("a#1", 1, accepted("album"));
         apply("a#1", 2, ended(0, 1, true));
