--- a/bench/capacity_jobs.cpp
+++ b/bench/capacity_jobs.cpp
@@ -66,7 +66,7 @@
             fold.apply(log_offset(fold.position().value() + 1), ended(number, jobs));
         out.add("heap_done", jobs, heap_bytes() - before, "bytes");
         const auto done = std::ranges::count_if(
-            fold.jobs(), [](const auto& entry) { return entry.second.done(); });
+            fold.jobs(), [](const auto& entry) { return entry.second.is_done(); });
         out.add("done", jobs, static_cast<double>(done), "count");
     }
 }
--- a/include/figwinch/jobs/job_entry.h
+++ b/include/figwinch/jobs/job_entry.h
@@ -34,7 +34,7 @@
     resources committed;
     /// Checkpoint of the newest ended attempt that reported one; the next attempt resumes from it.
     std::string checkpoint;
-    attempt_number checkpoint_of;
+    attempt_number checkpoint_attempt;
     bool failed = false;
 };
 
@@ -46,7 +46,7 @@
     std::set<int> queued;
     int active = 0;
     /// When this process became the owner of the job.
-    instant taken_up_at{};
+    instant acquired_at{};
     int blocked = 0;
     int done = 0;
     bool cancelled = false;
@@ -54,11 +54,11 @@
     /// that must run again becomes `blocked` instead of `queued`.
     bool fenced_off = false;
     /// A record that moves the job to another scheduler has been written; no attempt may start.
-    bool leaving = false;
+    bool moving = false;
     /// Attempts started by this owner have numbers above this one.
     attempt_number attempt_base;
 
-    bool over() const { return cancelled || done == static_cast<int>(tasks.size()); }
+    bool has_ended() const { return cancelled || done == static_cast<int>(tasks.size()); }
 };
 
 } // namespace figwinch
--- a/include/figwinch/jobs/job_fold.h
+++ b/include/figwinch/jobs/job_fold.h
@@ -38,10 +38,10 @@
 /// seen them.
 class job_fold {
 public:
-    /// Retains the newest `keep_done` done jobs, and also all jobs that the manifest declares
-    /// (`job_record::is_kept_when_done`).
-    explicit job_fold(job_fold_listener* listener = nullptr, std::size_t keep_done = 5'000)
-        : listener_(listener), keep_done_(keep_done) {}
+    /// Retains the newest `max_done_jobs` done jobs, and also all jobs that the manifest declares
+    /// (`job_record::is_retained_when_done`).
+    explicit job_fold(job_fold_listener* listener = nullptr, std::size_t max_done_jobs = 5'000)
+        : listener_(listener), max_done_jobs_(max_done_jobs) {}
 
     /// Applies one record. Records at or before `position()` and payloads that can't be parsed as a
     /// `JobBatch` change no job.
@@ -65,7 +65,7 @@
     std::int64_t open_jobs_of(const customer_id& customer) const;
     /// Starts at the offset `first` because older records have expired from the log. Must be called
     /// before the first `apply`.
-    void begin_at(log_offset first);
+    void start_at(log_offset first);
 
 private:
     bool is_new(const pb::JobBatch& batch);
@@ -76,13 +76,13 @@
     void move(log_offset offset, const pb::JobBatch& batch, const pb::JobMoved& event);
     void take_over(log_offset offset, const pb::JobBatch& batch, const pb::OwnerTakeover& event);
     void snapshot(log_offset offset, const pb::JobBatch& batch, const pb::JobSnapshot& event);
-    job_record* owned(const pb::JobBatch& batch, const std::string& customer,
-                      const std::string& job);
+    job_record* find_owned(const pb::JobBatch& batch, const std::string& customer,
+                           const std::string& job);
     void set_owner(job_record& job, const incarnation_id& owner, const data_centre_id& centre,
                    log_offset offset);
     incarnation_id newest_successor(incarnation_id owner) const;
-    void note_done(const job_record& job);
-    void forget_later(const job_key& key);
+    void on_job_done(const job_record& job);
+    void add_evictable(const job_key& key);
 
     struct writer_state {
         std::uint64_t last_number = 0;
@@ -96,7 +96,7 @@
     std::unordered_map<customer_id, std::int64_t> open_jobs_;
     std::unordered_map<incarnation_id, writer_state> writers_;
     std::unordered_map<incarnation_id, incarnation_id> successors_;
-    std::size_t keep_done_;
+    std::size_t max_done_jobs_;
     /// Done jobs that may be evicted, oldest first.
     std::deque<job_key> done_;
 };
--- a/include/figwinch/jobs/job_record.h
+++ b/include/figwinch/jobs/job_record.h
@@ -36,13 +36,13 @@
     int final_tasks = 0;
     /// Offset of the newest record with the job's complete state. The owner writes a new snapshot
     /// before that record expires.
-    log_offset kept_at;
+    log_offset full_state_offset;
 
-    bool done() const { return cancelled || final_tasks >= spec.tasks(); }
+    bool is_done() const { return cancelled || final_tasks >= spec.tasks(); }
     /// Whether the job must be retained after it is done. A job that the manifest declares is
     /// retained while it is declared, since otherwise it would be created and run again. Its owner
     /// cancels it when the manifest no longer declares it.
-    bool is_kept_when_done() const { return is_manifest_job_id(spec.id()) && !cancelled; }
+    bool is_retained_when_done() const { return is_manifest_job_id(spec.id()) && !cancelled; }
 };
 
 } // namespace figwinch
--- a/include/figwinch/jobs/takeover_fence.h
+++ b/include/figwinch/jobs/takeover_fence.h
@@ -20,32 +20,32 @@
 /// the leases of all its tasks have expired.
 class takeover_fence {
 public:
-    takeover_fence(incarnation_id previous, log_offset record, instant folded_at,
+    takeover_fence(incarnation_id previous_owner, log_offset record, instant applied_at,
                    duration unreachable_after, std::set<worker_id> workers,
                    std::vector<job_key> jobs);
 
     /// Handles a list, made after the take-over record was applied, that shows a live scheduler as
     /// the holder of the worker's lease.
-    void note_held(const worker_id& worker) { open_.erase(worker); }
+    void on_lease_held(const worker_id& worker) { unfenced_workers_.erase(worker); }
     /// Handles a report that the scheduler that tries to acquire the worker's lease, the only one
     /// to do so, has sent it nothing for a full task lease plus clock drift.
-    void note_quiet(const worker_id& worker, instant now);
+    void on_unreachable(const worker_id& worker, instant now);
     /// Whether every worker is fenced. No scheduler can hold the lease of a worker that the
     /// manifest no longer declares; such a worker counts as unreachable and as sent nothing.
-    bool is_complete() const { return open_.empty(); }
+    bool is_complete() const { return unfenced_workers_.empty(); }
 
-    const incarnation_id& previous() const { return previous_; }
+    const incarnation_id& previous_owner() const { return previous_owner_; }
     log_offset record() const { return record_; }
-    instant folded_at() const { return folded_at_; }
-    const std::set<worker_id>& open() const { return open_; }
+    instant applied_at() const { return applied_at_; }
+    const std::set<worker_id>& unfenced_workers() const { return unfenced_workers_; }
     const std::vector<job_key>& jobs() const { return jobs_; }
 
 private:
-    incarnation_id previous_;
+    incarnation_id previous_owner_;
     log_offset record_;
-    instant folded_at_;
+    instant applied_at_;
     duration unreachable_after_;
-    std::set<worker_id> open_;
+    std::set<worker_id> unfenced_workers_;
     std::vector<job_key> jobs_;
 };
 
--- a/src/jobs/job_book.cpp
+++ b/src/jobs/job_book.cpp
@@ -23,7 +23,7 @@
         slot.attempt = outcome.attempt;
         slot.worker = worker_id(outcome.worker);
         slot.checkpoint = outcome.checkpoint;
-        slot.checkpoint_of = outcome.attempt;
+        slot.checkpoint_attempt = outcome.attempt;
         slot.failed = outcome.final && outcome.end != pb::TASK_END_FINISHED;
         if (outcome.final)
             set_phase(job, index, task_phase::done);
@@ -36,50 +36,50 @@
 }
 
 void job_book::remove(const job_key& key) {
-    const auto place = entries_.find(key);
-    if (place == entries_.end())
+    const auto it = entries_.find(key);
+    if (it == entries_.end())
         return;
-    for (int i = 0; i < static_cast<int>(place->second.tasks.size()); ++i) {
-        if (place->second.tasks[static_cast<std::size_t>(i)].phase == task_phase::active)
-            deactivate(place->second, i);
+    for (int i = 0; i < static_cast<int>(it->second.tasks.size()); ++i) {
+        if (it->second.tasks[static_cast<std::size_t>(i)].phase == task_phase::active)
+            deactivate(it->second, i);
     }
-    entries_.erase(place);
+    entries_.erase(it);
 }
 
-resources job_book::active_of(const customer_id& customer) const {
-    const auto place = active_of_.find(customer);
-    return place == active_of_.end() ? resources{} : place->second;
+resources job_book::active_resources_of(const customer_id& customer) const {
+    const auto it = active_resources_.find(customer);
+    return it == active_resources_.end() ? resources{} : it->second;
 }
 
-void job_book::activate(job_entry& job, int index, const attempt_site& site) {
+void job_book::activate(job_entry& job, int index, const attempt_placement& placement) {
     task_slot& slot = job.tasks[static_cast<std::size_t>(index)];
     if (slot.phase == task_phase::active)
         deactivate(job, index);
-    slot.worker = site.worker;
-    slot.epoch = site.epoch;
-    slot.since = site.now;
-    slot.committed = site.size;
-    active_on_[site.worker].insert(make_task_id(job.key, index));
-    active_of_[customer_id(job.spec.customer())] += site.size;
+    slot.worker = placement.worker;
+    slot.epoch = placement.epoch;
+    slot.since = placement.now;
+    slot.committed = placement.size;
+    active_tasks_by_worker_[placement.worker].insert(make_task_id(job.key, index));
+    active_resources_[customer_id(job.spec.customer())] += placement.size;
 }
 
 void job_book::deactivate(job_entry& job, int index) {
     const task_slot& slot = job.tasks[static_cast<std::size_t>(index)];
-    const auto on = active_on_.find(slot.worker);
+    const auto on = active_tasks_by_worker_.find(slot.worker);
     on->second.erase(make_task_id(job.key, index));
     if (on->second.empty())
-        active_on_.erase(on);
-    active_of_[customer_id(job.spec.customer())] -= slot.committed;
+        active_tasks_by_worker_.erase(on);
+    active_resources_[customer_id(job.spec.customer())] -= slot.committed;
 }
 
 job_entry* job_book::find(const job_key& key) {
-    const auto place = entries_.find(key);
-    return place == entries_.end() ? nullptr : &place->second;
+    const auto it = entries_.find(key);
+    return it == entries_.end() ? nullptr : &it->second;
 }
 
 const job_entry* job_book::find(const job_key& key) const {
-    const auto place = entries_.find(key);
-    return place == entries_.end() ? nullptr : &place->second;
+    const auto it = entries_.find(key);
+    return it == entries_.end() ? nullptr : &it->second;
 }
 
 const task_slot* job_book::slot(const task_id& task) const {
@@ -113,16 +113,17 @@
     set_phase(job, index, job.fenced_off ? task_phase::blocked : task_phase::queued);
 }
 
-attempt_number job_book::begin(job_entry& job, int index, const attempt_site& site) {
+attempt_number job_book::begin(job_entry& job, int index, const attempt_placement& placement) {
     task_slot& slot = job.tasks[static_cast<std::size_t>(index)];
-    assert(slot.phase == task_phase::queued && !job.over() && !job.leaving);
+    assert(slot.phase == task_phase::queued && !job.has_ended() && !job.moving);
     slot.attempt = std::max(slot.attempt, job.attempt_base).next();
-    activate(job, index, site);
+    activate(job, index, placement);
     set_phase(job, index, task_phase::active);
     return slot.attempt;
 }
 
-void job_book::note_found(const task_id& task, attempt_number attempt, const attempt_site& site) {
+void job_book::on_attempt_observed(const task_id& task, attempt_number attempt,
+                                   const attempt_placement& placement) {
     const std::optional<task_name> name = parse_task_id(task.str());
     job_entry* job = name ? find(name->job) : nullptr;
     if (!job || name->index >= static_cast<int>(job->tasks.size()))
@@ -133,17 +134,18 @@
     // The log already records the end of this attempt, so the observation is out of date.
     if (attempt == slot.attempt && slot.phase != task_phase::active)
         return;
-    if (attempt == slot.attempt && site.worker == slot.worker) {
-        slot.epoch = std::max(slot.epoch, site.epoch);
+    if (attempt == slot.attempt && placement.worker == slot.worker) {
+        slot.epoch = std::max(slot.epoch, placement.epoch);
         return;
     }
-    activate(*job, name->index, site);
+    activate(*job, name->index, placement);
     slot.attempt = attempt;
     set_phase(*job, name->index, task_phase::active);
 }
 
-std::optional<pb::TaskEnded> job_book::note_ended(const pb::EndedTask& report,
-                                                  const worker_id& worker, bool failed_for_good) {
+std::optional<pb::TaskEnded> job_book::on_attempt_ended(const pb::EndedTask& report,
+                                                        const worker_id& worker,
+                                                        bool failed_for_good) {
     const std::optional<task_name> name = parse_task_id(report.key().task());
     job_entry* job = name ? find(name->job) : nullptr;
     if (!job || name->index >= static_cast<int>(job->tasks.size()))
@@ -151,9 +153,9 @@
     task_slot& slot = job->tasks[static_cast<std::size_t>(name->index)];
     const attempt_number attempt(report.key().attempt());
     const bool usable = job->spec.checkpointable() && !report.checkpoint().empty();
-    if (usable && attempt > slot.checkpoint_of) {
+    if (usable && attempt > slot.checkpoint_attempt) {
         slot.checkpoint = report.checkpoint();
-        slot.checkpoint_of = attempt;
+        slot.checkpoint_attempt = attempt;
     }
     if (slot.phase == task_phase::done || attempt < slot.attempt)
         return std::nullopt;
@@ -180,7 +182,7 @@
     return out;
 }
 
-bool job_book::note_gone(const task_id& task, attempt_number attempt) {
+bool job_book::on_attempt_lost(const task_id& task, attempt_number attempt) {
     const std::optional<task_name> name = parse_task_id(task.str());
     job_entry* job = name ? find(name->job) : nullptr;
     if (!job || name->index >= static_cast<int>(job->tasks.size()))
@@ -206,8 +208,8 @@
     }
 }
 
-std::vector<attempt_place> job_book::cancel(const job_key& key) {
-    std::vector<attempt_place> running;
+std::vector<running_attempt> job_book::cancel(const job_key& key) {
+    std::vector<running_attempt> running;
     job_entry* job = find(key);
     if (!job)
         return running;
--- a/src/jobs/job_fold.cpp
+++ b/src/jobs/job_fold.cpp
@@ -64,32 +64,32 @@
 
 void job_fold::accept(log_offset offset, const pb::JobBatch& batch, const pb::JobAccepted& event) {
     const job_key key = make_job_key(event.spec().customer(), event.spec().id());
-    const auto [place, inserted] = jobs_.try_emplace(key);
+    const auto [it, inserted] = jobs_.try_emplace(key);
     if (!inserted)
         return;
-    job_record& job = place->second;
+    job_record& job = it->second;
     job.key = key;
     job.spec = event.spec();
-    job.kept_at = offset;
+    job.full_state_offset = offset;
     ++open_jobs_[customer_id(job.spec.customer())];
     set_owner(job, incarnation_id(batch.writer()), data_centre_id(batch.data_centre()), {});
     if (listener_)
         listener_->on_accepted(job);
 }
 
-job_record* job_fold::owned(const pb::JobBatch& batch, const std::string& customer,
-                            const std::string& job) {
-    const auto place = jobs_.find(make_job_key(customer, job));
-    if (place == jobs_.end() || place->second.owner.str() != batch.writer())
+job_record* job_fold::find_owned(const pb::JobBatch& batch, const std::string& customer,
+                                 const std::string& job) {
+    const auto it = jobs_.find(make_job_key(customer, job));
+    if (it == jobs_.end() || it->second.owner.str() != batch.writer())
         return nullptr;
-    return &place->second;
+    return &it->second;
 }
 
 void job_fold::end_task(const pb::JobBatch& batch, const pb::TaskEnded& event) {
-    job_record* job = owned(batch, event.customer(), event.job());
+    job_record* job = find_owned(batch, event.customer(), event.job());
     if (!job || event.task_index() < 0 || event.task_index() >= job->spec.tasks())
         return;
-    const bool was_done = job->done();
+    const bool was_done = job->is_done();
     task_outcome& outcome = job->tasks[event.task_index()];
     const attempt_number attempt(event.attempt());
     if (outcome.final || attempt <= outcome.attempt)
@@ -104,28 +104,28 @@
         outcome.checkpoint.clear();
         ++job->final_tasks;
     }
-    if (!was_done && job->done())
-        note_done(*job);
+    if (!was_done && job->is_done())
+        on_job_done(*job);
     if (listener_)
         listener_->on_task_ended(*job, event.task_index());
 }
 
 void job_fold::cancel(const pb::JobBatch& batch, const pb::JobCancelled& event) {
-    job_record* job = owned(batch, event.customer(), event.job());
-    if (!job || job->cancelled || (job->done() && !job->is_kept_when_done()))
+    job_record* job = find_owned(batch, event.customer(), event.job());
+    if (!job || job->cancelled || (job->is_done() && !job->is_retained_when_done()))
         return;
-    const bool was_done = job->done();
+    const bool was_done = job->is_done();
     job->cancelled = true;
     if (was_done)
-        forget_later(job->key);
+        add_evictable(job->key);
     else
-        note_done(*job);
+        on_job_done(*job);
     if (listener_)
         listener_->on_cancelled(*job);
 }
 
 void job_fold::move(log_offset offset, const pb::JobBatch& batch, const pb::JobMoved& event) {
-    job_record* job = owned(batch, event.customer(), event.job());
+    job_record* job = find_owned(batch, event.customer(), event.job());
     if (!job)
         return;
     const incarnation_id previous = job->owner;
@@ -139,8 +139,8 @@
                          const pb::OwnerTakeover& event) {
     const incarnation_id from(event.from());
     const incarnation_id to = newest_successor(incarnation_id(event.to()));
-    const bool by_party = batch.writer() == event.from() || batch.writer() == event.to();
-    if (!by_party || from == to || successors_.contains(from))
+    const bool written_by_party = batch.writer() == event.from() || batch.writer() == event.to();
+    if (!written_by_party || from == to || successors_.contains(from))
         return;
     successors_[from] = to;
     const std::set<job_key> keys = jobs_of(from);
@@ -157,16 +157,16 @@
 void job_fold::snapshot(log_offset offset, const pb::JobBatch& batch,
                         const pb::JobSnapshot& event) {
     const job_key key = make_job_key(event.spec().customer(), event.spec().id());
-    const auto [place, inserted] = jobs_.try_emplace(key);
-    job_record& job = place->second;
+    const auto [it, inserted] = jobs_.try_emplace(key);
+    job_record& job = it->second;
     if (!inserted) {
         if (job.owner.str() == batch.writer())
-            job.kept_at = offset;
+            job.full_state_offset = offset;
         return;
     }
     job.key = key;
     job.spec = event.spec();
-    job.kept_at = offset;
+    job.full_state_offset = offset;
     job.cancelled = event.cancelled();
     for (const pb::TaskEnded& ended : event.tasks()) {
         job.tasks[ended.task_index()] =
@@ -177,8 +177,8 @@
     set_owner(job, newest_successor(incarnation_id(event.owner())),
               data_centre_id(event.owner_data_centre()), offset);
     ++open_jobs_[customer_id(job.spec.customer())];
-    if (job.done())
-        note_done(job);
+    if (job.is_done())
+        on_job_done(job);
     if (listener_)
         listener_->on_accepted(job);
 }
@@ -186,10 +186,10 @@
 void job_fold::set_owner(job_record& job, const incarnation_id& owner, const data_centre_id& centre,
                          log_offset offset) {
     if (!job.owner.empty()) {
-        const auto place = by_owner_.find(job.owner);
-        place->second.erase(job.key);
-        if (place->second.empty())
-            by_owner_.erase(place);
+        const auto it = by_owner_.find(job.owner);
+        it->second.erase(job.key);
+        if (it->second.empty())
+            by_owner_.erase(it);
     }
     job.owner = owner;
     job.owner_data_centre = centre;
@@ -204,9 +204,9 @@
     return owner;
 }
 
-void job_fold::note_done(const job_record& job) {
-    if (!job.is_kept_when_done())
-        forget_later(job.key);
+void job_fold::on_job_done(const job_record& job) {
+    if (!job.is_retained_when_done())
+        add_evictable(job.key);
     const auto open = open_jobs_.find(customer_id(job.spec.customer()));
     if (--open->second == 0)
         open_jobs_.erase(open);
@@ -219,33 +219,33 @@
 
 // Evicts done jobs by count and in log order, so that every process evicts the same job at the same
 // record. A later submission with the same id is then a new job in all processes or in none.
-void job_fold::forget_later(const job_key& key) {
+void job_fold::add_evictable(const job_key& key) {
     done_.push_back(key);
-    if (done_.size() <= keep_done_)
+    if (done_.size() <= max_done_jobs_)
         return;
-    const auto place = jobs_.find(done_.front());
-    const auto owner = by_owner_.find(place->second.owner);
-    owner->second.erase(place->first);
+    const auto it = jobs_.find(done_.front());
+    const auto owner = by_owner_.find(it->second.owner);
+    owner->second.erase(it->first);
     if (owner->second.empty())
         by_owner_.erase(owner);
-    jobs_.erase(place);
+    jobs_.erase(it);
     done_.pop_front();
 }
 
-void job_fold::begin_at(log_offset first) {
+void job_fold::start_at(log_offset first) {
     assert(position_.is_none() && !first.is_none());
     position_ = log_offset(first.value() - 1);
 }
 
 const job_record* job_fold::find(const job_key& key) const {
-    const auto place = jobs_.find(key);
-    return place == jobs_.end() ? nullptr : &place->second;
+    const auto it = jobs_.find(key);
+    return it == jobs_.end() ? nullptr : &it->second;
 }
 
 const std::set<job_key>& job_fold::jobs_of(const incarnation_id& owner) const {
     static const std::set<job_key> none;
-    const auto place = by_owner_.find(owner);
-    return place == by_owner_.end() ? none : place->second;
+    const auto it = by_owner_.find(owner);
+    return it == by_owner_.end() ? none : it->second;
 }
 
 std::vector<incarnation_id> job_fold::owners() const {
@@ -258,13 +258,13 @@
 }
 
 data_centre_id job_fold::data_centre_of(const incarnation_id& writer) const {
-    const auto place = writers_.find(writer);
-    return place == writers_.end() ? data_centre_id{} : place->second.data_centre;
+    const auto it = writers_.find(writer);
+    return it == writers_.end() ? data_centre_id{} : it->second.data_centre;
 }
 
 std::uint64_t job_fold::last_number(const incarnation_id& writer) const {
-    const auto place = writers_.find(writer);
-    return place == writers_.end() ? 0 : place->second.last_number;
+    const auto it = writers_.find(writer);
+    return it == writers_.end() ? 0 : it->second.last_number;
 }
 
 pb::JobSnapshot make_snapshot(const job_record& job) {
--- a/src/jobs/takeover_fence.cpp
+++ b/src/jobs/takeover_fence.cpp
@@ -2,15 +2,16 @@
 
 namespace figwinch {
 
-takeover_fence::takeover_fence(incarnation_id previous, log_offset record, instant folded_at,
+takeover_fence::takeover_fence(incarnation_id previous_owner, log_offset record, instant applied_at,
                                duration unreachable_after, std::set<worker_id> workers,
                                std::vector<job_key> jobs)
-    : previous_(std::move(previous)), record_(record), folded_at_(folded_at),
-      unreachable_after_(unreachable_after), open_(std::move(workers)), jobs_(std::move(jobs)) {}
+    : previous_owner_(std::move(previous_owner)), record_(record), applied_at_(applied_at),
+      unreachable_after_(unreachable_after), unfenced_workers_(std::move(workers)),
+      jobs_(std::move(jobs)) {}
 
-void takeover_fence::note_quiet(const worker_id& worker, instant now) {
-    if (now >= folded_at_ + unreachable_after_)
-        open_.erase(worker);
+void takeover_fence::on_unreachable(const worker_id& worker, instant now) {
+    if (now >= applied_at_ + unreachable_after_)
+        unfenced_workers_.erase(worker);
 }
 
 } // namespace figwinch
--- a/src/scheduler/core_log.cpp
+++ b/src/scheduler/core_log.cpp
@@ -41,7 +41,7 @@
     now_ = now;
     read_log_ = true;
     if (fold_.position().is_none())
-        fold_.begin_at(first_kept);
+        fold_.start_at(first_kept);
     else if (first_kept > fold_.position().next())
         deposed_ = true;
 }
@@ -78,12 +78,12 @@
 }
 
 void scheduler_core::take_up(const job_record& job, bool fenced_off) {
-    if (job.done()) {
-        if (job.is_kept_when_done())
+    if (job.is_done()) {
+        if (job.is_retained_when_done())
             keep_in_log(job.key, now_);
         return;
     }
-    book_.add(job, fenced_off).taken_up_at = now_;
+    book_.add(job, fenced_off).acquired_at = now_;
     enqueue(job.key);
     keep_in_log(job.key, job.owned_since.is_none() ? now_ + with_.snapshot_every : now_);
 }
@@ -121,17 +121,17 @@
         return;
     if (policies_.failures && job.tasks.at(index).final)
         policies_.failures->forget(make_task_id(job.key, index));
-    if (!job.done())
+    if (!job.is_done())
         return;
     let_go(job.key);
-    if (job.is_kept_when_done())
+    if (job.is_retained_when_done())
         keep_in_log(job.key, now_ + with_.snapshot_every);
 }
 
 void scheduler_core::on_cancelled(const job_record& job) {
     releasing_.erase(job.key);
     if (is_mine(job)) {
-        for (const attempt_place& one : book_.cancel(job.key))
+        for (const running_attempt& one : book_.cancel(job.key))
             leases_.stop(one.worker, one.task, false, now_);
         let_go(job.key);
     }
--- a/src/scheduler/core_manifest.cpp
+++ b/src/scheduler/core_manifest.cpp
@@ -68,9 +68,9 @@
 void scheduler_core::drop_undeclared_jobs(const std::set<job_key>& declared, instant now) {
     for (const job_key& key : fold_.jobs_of(self_)) {
         const job_record& job = *fold_.find(key);
-        if (!job.is_kept_when_done() || declared.contains(key) || requests_.contains(key))
+        if (!job.is_retained_when_done() || declared.contains(key) || requests_.contains(key))
             continue;
-        if (!job.done()) {
+        if (!job.is_done()) {
             cancel(
                 key, [](const absl::Status&, const pb::JobView&) {}, now);
         } else if (releasing_.insert(key).second) {
--- a/src/scheduler/core_moves.cpp
+++ b/src/scheduler/core_moves.cpp
@@ -46,7 +46,7 @@
 
 // Nothing of the job runs, and no worker here has had room for one task of it for a while.
 bool scheduler_core::is_starved(const job_entry& job, instant now) const {
-    if (now < job.taken_up_at + with_.starved_after)
+    if (now < job.acquired_at + with_.starved_after)
         return false;
     // First what is cheap: when the region is full, no job gets further than this.
     const resources size = size_of(job.spec);
@@ -104,7 +104,7 @@
     for (const auto& [key, job] : book_.entries()) {
         if (movable.size() >= max_at_once)
             break;
-        if (job.over() || job.leaving || job.active > 0 || job.blocked > 0 || job.fenced_off)
+        if (job.has_ended() || job.moving || job.active > 0 || job.blocked > 0 || job.fenced_off)
             continue;
         if (!suits_here(job.spec) || is_starved(job, now))
             movable.push_back(key);
@@ -118,7 +118,7 @@
 }
 
 void scheduler_core::give_away(job_entry& job, const member& home) {
-    job.leaving = true;
+    job.moving = true;
     queue_.remove(job.key);
     pb::JobEvent event;
     event.mutable_moved()->set_job(job.spec.id());
--- a/src/scheduler/core_ownership.cpp
+++ b/src/scheduler/core_ownership.cpp
@@ -11,20 +11,21 @@
 void scheduler_core::run_fences(instant now, scheduler_actions& out) {
     const bool settled = now >= schedulers_changed_at_ + with_.leases.lapse();
     for (takeover_fence& fence : fences_) {
-        for (const worker_id& worker : std::set<worker_id>(fence.open())) {
+        for (const worker_id& worker : std::set<worker_id>(fence.unfenced_workers())) {
             const leased_worker* known = leases_.find(worker);
             const bool nobodys = !known;
             if (settled && (nobodys || (known->preferred && leases_.is_quiet(worker, now))))
-                fence.note_quiet(worker, now);
+                fence.on_unreachable(worker, now);
         }
     }
     lift_complete_fences();
     if (now < next_fence_)
         return;
     next_fence_ = now + with_.fence_every;
-    const bool elsewhere = std::ranges::any_of(book_.active_on(), [this, now](const auto& one) {
-        return !leases_.is_held(one.first, now);
-    });
+    const bool elsewhere =
+        std::ranges::any_of(book_.active_tasks_by_worker(), [this, now](const auto& one) {
+            return !leases_.is_held(one.first, now);
+        });
     if (fences_.empty() && !elsewhere)
         return;
     resolve_located({}, {}, {}, now, now);
@@ -32,7 +33,7 @@
         fence_ask ask;
         ask.peer = *peer;
         ask.query.set_previous_owner(fences_.empty() ? self_.str()
-                                                     : fences_.front().previous().str());
+                                                     : fences_.front().previous_owner().str());
         ask.query.set_folded(fold_.position().value());
         ask.query.set_takeover(fences_.empty() ? 0 : fences_.back().record().value());
         out.asks.push_back(std::move(ask));
@@ -135,19 +136,19 @@
             take_report(report, worker_id(task.worker()));
         } else {
             const worker_id worker(task.worker());
-            book_.note_found(task_id(task.task()), attempt_number(task.attempt()),
-                             {worker, held[worker], {}, now});
+            book_.on_attempt_observed(task_id(task.task()), attempt_number(task.attempt()),
+                                      {worker, held[worker], {}, now});
         }
     }
     const bool settled = now >= schedulers_changed_at_ + with_.leases.lapse();
     for (takeover_fence& fence : fences_) {
-        if (from == fence.previous() || asked_at < fence.folded_at())
+        if (from == fence.previous_owner() || asked_at < fence.applied_at())
             continue;
         for (const worker_id& worker : fenced)
-            fence.note_held(worker);
+            fence.on_lease_held(worker);
         for (const worker_id& worker : quiet) {
             if (settled)
-                fence.note_quiet(worker, now);
+                fence.on_unreachable(worker, now);
         }
     }
     resolve_located(held, quiet, listed, asked_at, now);
@@ -165,7 +166,7 @@
     const duration lapse = with_.leases.lapse();
     const bool settled = now >= schedulers_changed_at_ + lapse;
     std::vector<std::pair<task_id, attempt_number>> over;
-    for (const auto& [worker, tasks] : book_.active_on()) {
+    for (const auto& [worker, tasks] : book_.active_tasks_by_worker()) {
         if (leases_.is_held(worker, now))
             continue;
         const bool known = leases_.find(worker) != nullptr;
@@ -182,7 +183,7 @@
         }
     }
     for (const auto& [task, attempt] : over) {
-        if (!book_.note_gone(task, attempt))
+        if (!book_.on_attempt_lost(task, attempt))
             continue;
         const std::optional<task_name> name = parse_task_id(task.str());
         enqueue(name->job);
--- a/src/scheduler/core_placement.cpp
+++ b/src/scheduler/core_placement.cpp
@@ -22,7 +22,7 @@
 
 void scheduler_core::enqueue(const job_key& key) {
     const job_entry* job = book_.find(key);
-    if (!job || job->queued.empty() || job->over() || job->leaving || queue_.contains(key))
+    if (!job || job->queued.empty() || job->has_ended() || job->moving || queue_.contains(key))
         return;
     const work_class rank = parse_work_class(job->spec.job_class()).value_or(work_class::normal);
     queue_.add(key, customer_id(job->spec.customer()), rank, ++queue_age_);
@@ -32,7 +32,8 @@
     const auto config = config_.current();
     const customer_spec* spec = config ? figwinch::find(*config, customer) : nullptr;
     const double share = spec ? spec->share : 1;
-    queue_.set_usage(customer, static_cast<double>(book_.active_of(customer).cpu_millis) / share);
+    queue_.set_usage(customer,
+                     static_cast<double>(book_.active_resources_of(customer).cpu_millis) / share);
 }
 
 bool scheduler_core::over_quota(const customer_id& customer, const resources& size) const {
@@ -40,7 +41,7 @@
     const customer_spec* spec = config ? figwinch::find(*config, customer) : nullptr;
     if (!spec || !spec->quota)
         return false;
-    return !fits(book_.active_of(customer) + size, *spec->quota);
+    return !fits(book_.active_resources_of(customer) + size, *spec->quota);
 }
 
 void scheduler_core::place(instant now) {
@@ -65,7 +66,7 @@
 job_queue::verdict scheduler_core::place_job(const job_key& key, std::vector<resources>& too_large,
                                              instant now) {
     job_entry* job = book_.find(key);
-    if (!job || job->leaving || job->over())
+    if (!job || job->moving || job->has_ended())
         return job_queue::verdict::next_job;
     const customer_id customer(job->spec.customer());
     const resources declared = size_of(job->spec);
@@ -110,8 +111,9 @@
             failing = placing::unsuitable;
             return std::nullopt;
         }
-        const auto siblings = book_.active_on().find(room.worker);
-        const std::size_t busy = siblings == book_.active_on().end() ? 0 : siblings->second.size();
+        const auto siblings = book_.active_tasks_by_worker().find(room.worker);
+        const std::size_t busy =
+            siblings == book_.active_tasks_by_worker().end() ? 0 : siblings->second.size();
         return *neighbours + failed_there_cost * failures + (busy > 0 ? same_worker_cost : 0);
     };
     const std::optional<worker_id> worker = index_.best_fit(size, cost);
--- a/src/scheduler/core_requests.cpp
+++ b/src/scheduler/core_requests.cpp
@@ -105,7 +105,7 @@
     const job_record* job = fold_.find(key);
     if (!job)
         return done(make_error(result_code::not_found, "no such job: " + key.str()), {});
-    if (job->done())
+    if (job->is_done())
         return done(absl::OkStatus(), *show(key));
     if (!is_mine(*job) || deposed_)
         return done(make_error(result_code::no_scheduler, "owned by " + job->owner.str()), {});
@@ -187,7 +187,7 @@
     if (job->cancelled) {
         view.set_state("cancelled");
         view.set_code(number(result_code::job_cancelled));
-    } else if (job->done()) {
+    } else if (job->is_done()) {
         view.set_state(failed ? "failed" : "finished");
         if (failed)
             view.set_code(number(result_code::job_failed_everywhere));
--- a/src/scheduler/core_workers.cpp
+++ b/src/scheduler/core_workers.cpp
@@ -27,20 +27,22 @@
     // A task that was found before its job was taken over is known to the table alone.
     for (const auto& [task, one] : worker.tasks) {
         if (one.phase != held_phase::starting)
-            book_.note_found(task, one.attempt, {worker.spec.name, worker.epoch, one.size, now_});
+            book_.on_attempt_observed(task, one.attempt,
+                                      {worker.spec.name, worker.epoch, one.size, now_});
         if (policies_.sizes && one.phase == held_phase::running)
             policies_.sizes->observe(one.customer, one.copied_from, task, one.used);
     }
     for (takeover_fence& fence : fences_) {
-        if (sent_at >= fence.folded_at())
-            fence.note_held(worker.spec.name);
+        if (sent_at >= fence.applied_at())
+            fence.on_lease_held(worker.spec.name);
     }
     police(worker.spec.name);
 }
 
 void scheduler_core::on_found(const leased_worker& worker, const task_id& task,
                               const held_task& attempt) {
-    book_.note_found(task, attempt.attempt, {worker.spec.name, worker.epoch, attempt.size, now_});
+    book_.on_attempt_observed(task, attempt.attempt,
+                              {worker.spec.name, worker.epoch, attempt.size, now_});
 }
 
 void scheduler_core::on_ended(const leased_worker& worker, const pb::EndedTask& report) {
@@ -62,7 +64,7 @@
     const int limit = job->spec.max_attempts() > 0 ? job->spec.max_attempts() : 3;
     const bool for_good =
         failed && policies_.failures && policies_.failures->counted_failures(task) >= limit;
-    std::optional<pb::TaskEnded> ended = book_.note_ended(report, worker, for_good);
+    std::optional<pb::TaskEnded> ended = book_.on_attempt_ended(report, worker, for_good);
     if (!ended)
         return;
     pb::JobEvent event;
@@ -86,7 +88,7 @@
 
 void scheduler_core::on_gone(const leased_worker& /*worker*/, const task_id& task,
                              attempt_number attempt) {
-    if (!book_.note_gone(task, attempt))
+    if (!book_.on_attempt_lost(task, attempt))
         return;
     const std::optional<task_name> name = parse_task_id(task.str());
     enqueue(name->job);
@@ -102,7 +104,7 @@
     if (!recovered_)
         return false;
     const job_record* job = fold_.find(name->job);
-    if (!job || job->done())
+    if (!job || job->is_done())
         return true;
     const auto outcome = job->tasks.find(name->index);
     return outcome != job->tasks.end() &&
--- a/tests/scheduler/core_memory_test.cpp
+++ b/tests/scheduler/core_memory_test.cpp
@@ -65,7 +65,7 @@
         region_.run_for(10s);
         CPPUNIT_ASSERT(region_.last_answer.ok());
         const job_record* pass = region_.core->fold().find(make_job_key("studio", "pass"));
-        CPPUNIT_ASSERT(pass != nullptr && pass->done());
+        CPPUNIT_ASSERT(pass != nullptr && pass->is_done());
     }
 
     // After the master of the manifest, the studio's other jobs finish in numbers larger than a
@@ -137,7 +137,7 @@
         region_.submit("later", 100);
         region_.run_for(3min);
         const job_record* later = region_.core->fold().find(make_job_key("studio", "later"));
-        CPPUNIT_ASSERT(later != nullptr && later->done());
+        CPPUNIT_ASSERT(later != nullptr && later->is_done());
         CPPUNIT_ASSERT(!failures->is_quarantined(worker_id("w"), region_.time.now()));
     }
 };
--- a/tests/scheduler/history_plan.cpp
+++ b/tests/scheduler/history_plan.cpp
@@ -342,7 +342,7 @@
         fold.apply(log_offset(i + 1), log_.record(i));
     return std::ranges::all_of(jobs_, [&fold](const auto& each) {
         const job_record* record = fold.find(job_key(each.first));
-        return record && record->done();
+        return record && record->is_done();
     });
 }
 
@@ -356,7 +356,7 @@
             violate(key + " was never accepted");
         else if (!record)
             violate(key + " was accepted and is not in the log");
-        else if (!record->done())
+        else if (!record->is_done())
             violate(key + " was accepted and never ended; owner " + record->owner.str());
         else if (job.cancelled && !record->cancelled)
             violate(key + " was cancelled and the log does not know");
--- a/tests/scheduler/retry_test.cpp
+++ b/tests/scheduler/retry_test.cpp
@@ -34,11 +34,12 @@
     }
     bool failed(const std::string& id) const {
         const job_record* known = job(id);
-        return known != nullptr && known->done() && known->tasks.at(0).end == pb::TASK_END_FAILED;
+        return known != nullptr && known->is_done() &&
+               known->tasks.at(0).end == pb::TASK_END_FAILED;
     }
     bool finished(const std::string& id) const {
         const job_record* known = job(id);
-        return known != nullptr && known->done() && !failed(id);
+        return known != nullptr && known->is_done() && !failed(id);
     }
 
     static int starts(const standin::worker_model& worker, const std::string& id) {
@@ -84,7 +85,7 @@
         region_.submit("pass", 100);
         region_.run_for(40s);
         CPPUNIT_ASSERT_EQUAL(1, starts(region_.worker, "pass"));
-        CPPUNIT_ASSERT(!job("pass")->done());
+        CPPUNIT_ASSERT(!job("pass")->is_done());
         region_.run_for(40s);
         CPPUNIT_ASSERT(finished("pass"));
         CPPUNIT_ASSERT_EQUAL(1, starts(region_.worker, "pass"));
