--- a/bench/cell_worker_list.cpp
+++ b/bench/cell_worker_list.cpp
@@ -47,16 +47,16 @@
             {"i-" + std::to_string(index), entry_of(index, cold_ms, sequence), index});
     constexpr std::size_t head_bytes = 16;
     return std::string(head_bytes, '\0') +
-           platform::encode_records(platform::record_form::keyed, records);
+           platform::encode_records(platform::record_format::keyed, records);
 }
 
 std::vector<stored_record> records_in(const std::string& body) {
-    return platform::decode_read(platform::record_form::keyed, 0, body)->records;
+    return platform::decode_read(platform::record_format::keyed, 0, body)->records;
 }
 
 void take_all(worker_list& list, const std::vector<stored_record>& records) {
     for (const stored_record& record : records)
-        list.take(record);
+        list.apply(record);
 }
 
 /// Microseconds that a list takes to fold two seconds in turn, for one of them.
@@ -79,8 +79,8 @@
         {time, platform, platform, journal, [&time] { return time.now(); }, [] { return true; },
          [] {}, [](const job_id&, const std::function<void()>&) {}},
         {}, lease_epoch(1), {}, known);
-    coordinates->take_listing(list.rows());
-    return median_seconds(runs, [&] { coordinates->take_listing(list.rows()); }) * 1e6;
+    coordinates->update_workers(list.listings());
+    return median_seconds(runs, [&] { coordinates->update_workers(list.listings()); }) * 1e6;
 }
 
 } // namespace
--- a/include/figwinch/cell/step_spec.h
+++ b/include/figwinch/cell/step_spec.h
@@ -8,40 +8,44 @@
 
 namespace figwinch {
 
-/// One step of a job: tasks that are alike. Plain value; checked by `check_job`.
+/// One step of a job: a set of identical tasks. Validated by `validate_job`.
 struct step_spec {
-    /// Number of tasks, 1 or more.
+    /// The number of tasks, at least 1.
     std::uint32_t tasks = 0;
-    /// What one task takes.
+    /// The resources that one task requests.
     resources size;
-    /// The submitter's guess of one task's run time; often far off.
+    /// The submitter's estimate of the run time of one task. Often inaccurate.
     duration estimate{};
-    /// Numbers of earlier steps that must have ended well first.
-    std::vector<std::uint32_t> after;
-    /// All tasks start and end together.
+    /// Numbers of the earlier steps that must succeed before this step starts.
+    std::vector<std::uint32_t> depends_on;
+    /// Gang scheduling: all tasks of the step start and end together.
     bool gang = false;
-    /// A gang that wants one rack.
+    /// All members of the gang must be placed in the same rack.
     bool one_rack = false;
-    /// Tasks save their progress and can resume from it.
-    bool checkpoints = false;
-    /// Several copies of one task may run at a time.
+    /// The tasks save checkpoints from which a later run can resume.
+    bool saves_checkpoints = false;
+    /// Several runs of one task may exist at the same time.
     bool copies_allowed = false;
-    /// Tasks run until the job is cancelled and are started again however they end.
-    bool lasting = false;
-    /// The tasks' processors aren't counted: they live on what others leave.
-    bool filling = false;
-    /// A label that the worker must carry; empty: any.
+    /// The tasks are service tasks: they run until the job is cancelled and are restarted whenever
+    /// they end, whatever the reason.
+    bool is_service = false;
+    /// The tasks are best-effort tasks: they use the CPU that other tasks leave idle, and their CPU
+    /// request isn't counted against the capacity of the worker.
+    bool is_best_effort = false;
+    /// A label that the worker must have. Empty means any worker.
     std::string label;
-    /// The rack that holds the data; empty: none.
-    rack_id near_rack;
-    /// Names what runs: tasks of one image behave alike.
+    /// The rack that stores the input data; workers in it are preferred. Empty means no preference.
+    rack_id preferred_rack;
+    /// Identifies the program that the tasks run. Tasks with the same image are expected to behave
+    /// alike.
     std::string image;
-    /// At most this many tasks of the step on one worker; 0: no bound.
-    std::uint32_t most_per_worker = 0;
-    /// Bound of the response-time tail of a lasting task; 0: none.
-    duration tail_target{};
-    /// How many tasks of a lasting step may be away at a time by our own doing.
-    std::uint32_t may_miss = 0;
+    /// The maximum number of tasks of this step on one worker. 0 means no limit.
+    std::uint32_t max_per_worker = 0;
+    /// The latency target of a service task: the upper bound for its tail latency. 0 means none.
+    duration latency_target{};
+    /// The disruption budget of a service step: how many of its tasks the scheduler may have down
+    /// voluntarily at the same time.
+    std::uint32_t disruption_budget = 0;
 };
 
 } // namespace figwinch
--- a/include/figwinch/cell/worker_report.h
+++ b/include/figwinch/cell/worker_report.h
@@ -8,51 +8,53 @@
 
 namespace figwinch {
 
-/// How a run ended, as its worker says.
+/// How a run ended, as reported by its worker.
 enum class run_end {
     done,
-    /// By its own fault or the worker's; counts against the job's attempts.
+    /// Failed because of the task or the worker. Counts against `job_spec::attempts`.
     failed,
-    /// On our order.
+    /// Stopped by order of the coordinator.
     stopped,
-    /// Its worker's lease ran out.
-    lapsed,
-    /// Another member of its gang ended.
-    broken,
-    /// It waited in vain for the other members of its gang.
-    alone,
+    /// Ended because the worker's lease expired.
+    lease_expired,
+    /// Ended because another member of its gang ended.
+    gang_ended,
+    /// Timed out while it waited for the other members of its gang to start.
+    gang_timeout,
 };
 
-/// A run that a worker has.
-struct running_row {
-    /// May be empty where the answer needn't name it: `hold_order::names`.
+/// A run that exists on a worker.
+struct active_run {
+    /// The task name. May be empty if the report needn't have it; see
+    /// `renewal_order::require_names`.
     std::string task;
     run_number run;
     std::string checkpoint;
-    /// How far a task with an end is; 100 for a lasting one that is at work.
-    int percent = 0;
-    /// Of a serving task the tail of its response times, ms; of others the processors in use,
-    /// thousandths of a core. Covers about the last half second.
-    std::int64_t recent = 0;
+    /// The progress of the task in percent. Always 100 for a service task that is running.
+    int progress_percent = 0;
+    /// For a service task with a latency target, its tail latency in ms; for other tasks, their CPU
+    /// usage in thousandths of a core. Covers about the last half second.
+    std::int64_t latency_ms_or_cpu_millis = 0;
 };
 
-/// A run that has ended and that the worker keeps until it was noted.
-struct ended_row {
-    /// Counts the ends of one life of the worker.
-    std::uint64_t number = 0;
+/// The end of a run. The worker keeps it until the coordinator has acknowledged that it is stored.
+struct ended_run {
+    /// The sequence number of the end within one incarnation of the worker.
+    std::uint64_t sequence = 0;
     std::string task;
     run_number run;
-    run_end how = run_end::done;
+    run_end reason = run_end::done;
     std::string checkpoint;
 };
 
-/// A worker's answer to a hold: what it runs and what ended there.
+/// A worker's answer to a lease renewal: its runs, and the ends of runs that haven't been
+/// acknowledged.
 struct worker_report {
-    /// The worker's own steady clock when it answered.
+    /// The worker's steady clock when it answered, in ms.
     std::int64_t clock_ms = 0;
-    std::uint64_t born_ms = 0;
-    std::vector<running_row> running;
-    std::vector<ended_row> ended;
+    std::uint64_t incarnation = 0;
+    std::vector<active_run> running;
+    std::vector<ended_run> ended;
 };
 
 } // namespace figwinch
--- /dev/null
+++ b/src/cell/task_state.h
@@ -0,0 +1,38 @@
+#pragma once
+
+#include "cell/task_run.h"
+#include "figwinch/cell/job_progress.h"
+#include "figwinch/cell/task_name.h"
+
+#include <array>
+
+namespace figwinch {
+
+struct job_state;
+struct worker_state;
+struct step_state;
+
+/// The coordinator's state of a task. Owned by its step.
+struct task_state {
+    job_state* job = nullptr;
+    step_state* step = nullptr;
+    std::uint32_t index = 0;
+    task_progress progress;
+    /// The log has the current value of `progress.ordered_to`.
+    bool recorded = false;
+    /// The predecessor reported that the task has no run anywhere.
+    bool not_ordered = false;
+    /// Worker that `run` is assigned to; null if no run of the task can exist.
+    worker_state* assigned_worker = nullptr;
+    task_run run;
+    /// Backoff after a failed run: the task is not started before this time.
+    instant not_before{};
+    /// Workers on which the last runs failed or lagged, newest first; retries prefer other workers.
+    std::array<worker_id, 4> failed_on;
+    /// Since when the task has had no run, as far as this coordinator knows.
+    instant down_since{};
+    /// How often the task was moved because it made no progress or lagged.
+    std::uint32_t moves = 0;
+};
+
+} // namespace figwinch
--- a/src/cell_host/cell_metrics.h
+++ b/src/cell_host/cell_metrics.h
@@ -2,7 +2,7 @@
 
 #include "cell_host/cell_member.h"
 #include "cell_host/cell_platform.h"
-#include "cell_host/job_front.h"
+#include "cell_host/job_api.h"
 #include "figwinch/observe.h"
 
 #include <string>
@@ -14,16 +14,16 @@
 
 namespace figwinch {
 
-/// The metrics of one host of a cell. Counts are read when they are asked for, so that nothing is
-/// spent on them in between. Owned by `cell_host`.
+/// Metrics of one host of a cell. Counters are collected only when the metrics are scraped, so they
+/// cost nothing in between. Owned by `cell_host`.
 class cell_metrics {
 public:
     cell_metrics();
 
-    /// How long a caller waited for the acceptance of a job.
+    /// Records the time from a submission's arrival to its acceptance.
     void observe_acceptance(duration waited);
-    /// The body of GET /metrics.
-    std::string expose(const cell_member& member, const job_front_counts& front,
+    /// Returns the body of GET /metrics.
+    std::string expose(const cell_member& member, const job_api_counts& front,
                        const cell_platform& platform);
 
 private:
--- a/src/cell_host/cell_status.cpp
+++ b/src/cell_host/cell_status.cpp
@@ -13,7 +13,7 @@
     pb::CellWorkerView& row = *shown.add_workers();
     row.set_id(from.id.str());
     row.set_data_centre(from.data_centre.str());
-    row.set_standing(std::string(to_string(from.standing)));
+    row.set_standing(std::string(to_string(from.status)));
     row.set_tasks(from.tasks);
     row.set_free_cpu_millis(from.free.cpu_millis);
     row.set_free_memory_mib(from.free.memory_mib);
@@ -27,7 +27,7 @@
     row.set_running(from.running);
     row.set_waiting(from.waiting);
     row.set_waits_for(std::string(to_string(from.waits_for)));
-    row.set_known_for_s(std::chrono::duration<double>(from.known_for).count());
+    row.set_known_for_s(std::chrono::duration<double>(from.age).count());
 }
 
 } // namespace
@@ -35,12 +35,12 @@
 std::string encode_status(const std::string& node, const cell_member& member) {
     pb::CellView shown;
     shown.set_node(node);
-    shown.set_leads(member.election().leads());
+    shown.set_leads(member.election().is_leader());
     shown.set_log_answers(member.log_answers());
     shown.set_jobs_known(member.state().jobs().size());
     if (member.config())
         shown.set_config_version(member.config()->version.value());
-    if (const std::optional<reign_view>& current = member.election().current()) {
+    if (const std::optional<leader_info>& current = member.election().current_leader()) {
         shown.set_coordinator(current->holder.str());
         shown.set_epoch(current->epoch.value());
     }
@@ -56,7 +56,7 @@
     options.always_print_primitive_fields = true;
     options.preserve_proto_field_names = true;
     std::string text;
-    // Every string in it is a name that was read as text; what isn't UTF-8 leaves the answer empty.
+    // Fails only if a name isn't valid UTF-8; the status is empty then.
     if (!google::protobuf::util::MessageToJsonString(shown, &text, options).ok())
         return "{}";
     return text;
--- a/src/cell_host/handover_server.h
+++ b/src/cell_host/handover_server.h
@@ -9,21 +9,23 @@
 
 namespace figwinch {
 
-/// Takes other hosts' records while this host writes for the cell. They wait in its own writer,
-/// which has one append on its way and gathers what comes meanwhile in the next. Owned by
-/// `cell_host`.
+/// Appends records that other hosts hand over while this host is the cell's shared writer. They go
+/// through this host's `intake_writer`, which has one append in flight and batches what arrives
+/// meanwhile into the next. Owned by `cell_host`.
 class handover_server {
 public:
-    /// `writes`: whether this host coordinates and its log answers.
-    handover_server(const clock& time, intake_writer& writer, std::function<bool()> writes)
-        : time_(time), writer_(writer), writes_(std::move(writes)) {}
+    /// `is_shared_writer`: whether this host is the shared writer: it coordinates and the log
+    /// answers it.
+    handover_server(const clock& time, intake_writer& writer,
+                    std::function<bool()> is_shared_writer)
+        : time_(time), writer_(writer), is_shared_writer_(std::move(is_shared_writer)) {}
 
     void handle(std::string_view body, const std::function<void(std::string)>& reply);
 
 private:
     const clock& time_;
     intake_writer& writer_;
-    std::function<bool()> writes_;
+    std::function<bool()> is_shared_writer_;
 };
 
 } // namespace figwinch
--- a/src/cell_host/intake_queue.h
+++ b/src/cell_host/intake_queue.h
@@ -6,16 +6,18 @@
 
 namespace figwinch {
 
-/// Entries that wait to be sent, in order. Owned by `intake_writer`.
+/// Queue of entries that wait to be sent. Owned by `intake_writer`.
 class intake_queue {
 public:
-    /// One append holds so many at most.
-    static constexpr std::size_t most_entries = 200;
+    /// Maximum number of entries in one append.
+    static constexpr std::size_t max_entries = 200;
 
     void push(intake_entry entry) { entries_.push_back(std::move(entry)); }
+    /// Puts entries at the front of the queue.
     void put_back(intake_entries entries);
-    /// In order, as much of what `may` allows as one append holds.
-    intake_entries take(const std::function<bool(const intake_entry&)>& may);
+    /// Removes and returns the entries for one append: in order, those for which `accept` returns
+    /// true, up to the limits of count and bytes.
+    intake_entries take(const std::function<bool(const intake_entry&)>& accept);
     intake_entries take_all();
     intake_entries& entries() { return entries_; }
     std::size_t size() const { return entries_.size(); }
--- a/src/learning/window_size_estimator.cpp
+++ b/src/learning/window_size_estimator.cpp
@@ -5,12 +5,12 @@
 namespace figwinch {
 namespace {
 
-/// What even an idle task is given, so that a size is never zero.
-constexpr resources smallest{.cpu_millis = 10, .memory_mib = 16};
+/// The minimum committed for any task, so that a size is never zero.
+constexpr resources min_size{.cpu_millis = 10, .memory_mib = 16};
 
-resources at_least_smallest(resources size) {
-    size.cpu_millis = std::max(size.cpu_millis, smallest.cpu_millis);
-    size.memory_mib = std::max(size.memory_mib, smallest.memory_mib);
+resources raise_to_min_size(resources size) {
+    size.cpu_millis = std::max(size.cpu_millis, min_size.cpu_millis);
+    size.memory_mib = std::max(size.memory_mib, min_size.memory_mib);
     return size;
 }
 
@@ -27,8 +27,8 @@
 
 void window_size_estimator::observe(const customer_id& customer, const template_id& copied_from,
                                     const task_id& task, const resources& used) {
-    // Nothing measured yet: a report sent before the worker's first measurement says zero, and
-    // would count as a task that needs nothing.
+    // A report sent before the worker's first measurement has zero use. Recording it would count
+    // the task as one that needs no resources.
     if (used.cpu_millis <= 0 && used.memory_mib <= 0)
         return;
     if (copied_from.empty())
@@ -41,7 +41,7 @@
                                              const resources& declared) const {
     const sampled_use* use = pairs_.find({customer, copied_from});
     if (use == nullptr)
-        return at_least_smallest(declared);
+        return raise_to_min_size(declared);
     resources size = declared;
     size.cpu_millis = with_margin(use->peak_cpu_millis());
     size.memory_mib = with_margin(use->peak_memory_mib());
@@ -49,7 +49,7 @@
         size.cpu_millis = std::max(size.cpu_millis, declared.cpu_millis);
         size.memory_mib = std::max(size.memory_mib, declared.memory_mib);
     }
-    return at_least_smallest(size);
+    return raise_to_min_size(size);
 }
 
 std::int64_t window_size_estimator::with_margin(std::int64_t peak) const {
--- a/src/scheduler/core_placement.cpp
+++ b/src/scheduler/core_placement.cpp
@@ -22,7 +22,7 @@
 
 void scheduler_core::enqueue(const job_key& key) {
     const job_entry* job = book_.find(key);
-    if (!job || job->queued.empty() || job->over() || job->leaving || queue_.contains(key))
+    if (!job || job->queued.empty() || job->has_ended() || job->moving || queue_.contains(key))
         return;
     const work_class rank = parse_work_class(job->spec.job_class()).value_or(work_class::normal);
     queue_.add(key, customer_id(job->spec.customer()), rank, ++queue_age_);
@@ -32,7 +32,8 @@
     const auto config = config_.current();
     const customer_spec* spec = config ? figwinch::find(*config, customer) : nullptr;
     const double share = spec ? spec->share : 1;
-    queue_.set_usage(customer, static_cast<double>(book_.active_of(customer).cpu_millis) / share);
+    queue_.set_usage(customer,
+                     static_cast<double>(book_.active_resources_of(customer).cpu_millis) / share);
 }
 
 bool scheduler_core::over_quota(const customer_id& customer, const resources& size) const {
@@ -40,7 +41,7 @@
     const customer_spec* spec = config ? figwinch::find(*config, customer) : nullptr;
     if (!spec || !spec->quota)
         return false;
-    return !fits(book_.active_of(customer) + size, *spec->quota);
+    return !fits(book_.active_resources_of(customer) + size, *spec->quota);
 }
 
 void scheduler_core::place(instant now) {
@@ -48,7 +49,7 @@
     std::vector<job_key> emptied;
     std::set<customer_id> touched;
     queue_.visit(with_.max_visits, [&](const job_key& key) {
-        const job_queue::verdict found = place_job(key, too_large, now);
+        const job_queue::visit_result found = place_job(key, too_large, now);
         const job_entry* job = book_.find(key);
         if (!job || job->queued.empty())
             emptied.push_back(key);
@@ -62,11 +63,11 @@
         update_usage(customer);
 }
 
-job_queue::verdict scheduler_core::place_job(const job_key& key, std::vector<resources>& too_large,
-                                             instant now) {
+job_queue::visit_result scheduler_core::place_job(const job_key& key,
+                                                  std::vector<resources>& too_large, instant now) {
     job_entry* job = book_.find(key);
-    if (!job || job->leaving || job->over())
-        return job_queue::verdict::next_job;
+    if (!job || job->moving || job->has_ended())
+        return job_queue::visit_result::next_job;
     const customer_id customer(job->spec.customer());
     const resources declared = size_of(job->spec);
     const template_id copied_from(job->spec.template_name());
@@ -74,20 +75,20 @@
         policies_.sizes ? policies_.sizes->commit_size(customer, copied_from, declared) : declared;
     while (!job->queued.empty()) {
         if (over_quota(customer, size))
-            return job_queue::verdict::next_customer;
+            return job_queue::visit_result::next_customer;
         const bool known_too_large = std::ranges::any_of(
             too_large, [&size](const resources& failed) { return fits(failed, size); });
         if (known_too_large)
-            return job_queue::verdict::next_job;
+            return job_queue::visit_result::next_job;
         if (!pacer_.take(now))
-            return job_queue::verdict::stop;
+            return job_queue::visit_result::stop;
         const placing outcome = place_task(*job, *job->queued.begin(), size, now);
         if (outcome == placing::no_room)
             too_large.push_back(size);
         if (outcome != placing::placed)
-            return job_queue::verdict::next_job;
+            return job_queue::visit_result::next_job;
     }
-    return job_queue::verdict::next_job;
+    return job_queue::visit_result::next_job;
 }
 
 scheduler_core::placing scheduler_core::place_task(job_entry& job, int index, const resources& size,
@@ -95,10 +96,10 @@
     const task_id task = make_task_id(job.key, index);
     // A task that may run on no worker with room must not keep others of its size waiting.
     placing failing = placing::no_room;
-    const auto cost = [&](const worker_room& room) -> std::optional<double> {
+    const auto cost = [&](const placement_worker& room) -> std::optional<double> {
         if (!leases_.may_start(room.worker, now))
             return std::nullopt;
-        if (policies_.failures && !policies_.failures->would_admit(room.worker, now))
+        if (policies_.failures && !policies_.failures->can_admit(room.worker, now))
             return std::nullopt;
         const int failures =
             policies_.failures ? policies_.failures->failures_on(task, room.worker) : 0;
@@ -110,8 +111,9 @@
             failing = placing::unsuitable;
             return std::nullopt;
         }
-        const auto siblings = book_.active_on().find(room.worker);
-        const std::size_t busy = siblings == book_.active_on().end() ? 0 : siblings->second.size();
+        const auto siblings = book_.active_tasks_by_worker().find(room.worker);
+        const std::size_t busy =
+            siblings == book_.active_tasks_by_worker().end() ? 0 : siblings->second.size();
         return *neighbours + failed_there_cost * failures + (busy > 0 ? same_worker_cost : 0);
     };
     const std::optional<worker_id> worker = index_.best_fit(size, cost);
@@ -133,7 +135,7 @@
     return std::ranges::any_of(leases_.workers(), [&](const auto& entry) {
         const auto& [name, worker] = entry;
         return worker.preferred && !worker.removed && worker.state != hold_state::silent &&
-               fits(size, worker.spec.capacity) && policies_.failures->would_admit(name, now) &&
+               fits(size, worker.spec.capacity) && policies_.failures->can_admit(name, now) &&
                !policies_.failures->failed_on(task, name);
     });
 }
--- a/tests/cell/cell_advice_test.cpp
+++ b/tests/cell/cell_advice_test.cpp
@@ -9,8 +9,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Queues whose policy lets only some workers run a step: the simulated workers take a start only
-/// with a ticket that was issued to them and still holds.
+/// Tests queues with a restricted placement policy, whose advisor decides which workers may run a
+/// step. The simulated workers accept a start order only with a valid ticket that was issued for
+/// them.
 class cell_advice_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(cell_advice_test);
     CPPUNIT_TEST(a_step_runs_where_the_policy_allows);
@@ -30,13 +31,13 @@
         return job;
     }
     void begin(std::set<std::string> good) {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         policy().good = std::move(good);
         world_.time().run_for(seconds(2));
     }
     void kept_the_rules() {
-        if (!world_.watch().broken.empty())
-            CPPUNIT_FAIL(world_.watch().broken.front());
+        if (!world_.checker().violations.empty())
+            CPPUNIT_FAIL(world_.checker().violations.front());
     }
     coordinator_view view() {
         return world_.host(*world_.coordinator())->member().coordinating()->view();
@@ -52,23 +53,23 @@
         world_.submit(0, "adv-a", advised(4, 1000));
         world_.time().run_for(seconds(6));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("adv-a"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, world_.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, world_.checker().starts);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, policy().calls);
         kept_the_rules();
     }
-    /// Story: twelve tasks fill the one good worker three times over, so that the last ones start
-    /// after the ticket has lapsed.
+    /// Guards against starts with an expired ticket. Twelve tasks need three rounds on the only
+    /// allowed worker, so that the last ones start after the first ticket has expired.
     void tickets_that_lapsed_are_asked_for_again() {
         begin({"w2"});
-        world_.watch().long_tasks = true;
+        world_.checker().long_tasks = true;
         world_.submit(0, "adv-a", advised(12, 1000));
         world_.time().run_for(seconds(20));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("adv-a"));
         CPPUNIT_ASSERT(policy().calls >= 2);
         kept_the_rules();
     }
-    /// Story: the advisor hangs. Its queue waits; other queues' jobs of the same hosts run on, and
-    /// the waiting job runs once the advisor is back.
+    /// Guards against an unresponsive advisor that blocks the jobs of other queues. Jobs of its own
+    /// queue must wait and run once the advisor answers again.
     void a_silent_advisor_delays_only_its_own_queue() {
         begin({"w1"});
         policy().silent = true;
@@ -79,14 +80,14 @@
         CPPUNIT_ASSERT_EQUAL(std::string("open"), phase("adv-a"));
         const auto shown = view();
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, shown.jobs.size());
-        CPPUNIT_ASSERT(shown.jobs[0].waits_for == job_wait::advice);
+        CPPUNIT_ASSERT(shown.jobs[0].waits_for == wait_reason::advice);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, shown.jobs[0].waiting);
         policy().silent = false;
         world_.time().run_for(seconds(6));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase("adv-a"));
         kept_the_rules();
     }
-    /// Story: a worker crashed and doesn't know the ticket any more.
+    /// Guards against a task that waits forever after its worker has crashed and lost the ticket.
     void a_worker_that_refuses_its_ticket_is_asked_about_again() {
         begin({"w1"});
         world_.submit(0, "adv-a", advised(6, 2000));
@@ -111,13 +112,13 @@
     }
     void calls_name_few_workers() {
         cell_world wide(3, 1, 45);
-        wide.watch().failing = 0;
+        wide.checker().failure_probability = 0;
         wide.fleet().policy.good = {"w44"};
         wide.time().run_for(seconds(2));
         wide.submit(0, "adv-a", advised(1, 1000));
         wide.time().run_for(seconds(6));
         CPPUNIT_ASSERT(wide.fleet().policy.most_named <= 30);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, wide.watch().starts);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, wide.checker().starts);
     }
 };
 
--- a/tests/cell/cell_world.h
+++ b/tests/cell/cell_world.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "simulation/sim_host.h"
-#include "tests/cell/rule_watch.h"
+#include "tests/cell/invariant_checker.h"
 
 #include <deque>
 #include <memory>
@@ -9,17 +9,18 @@
 
 namespace figwinch::sim {
 
-/// A cell in simulated time: a store, workers, hosts, and a watch that knows the rules. Everything
-/// is drawn from one seed.
+/// A simulated cell for tests: the store, the workers, the hosts, and a checker of the scheduler's
+/// invariants. Runs in simulated time and takes all random choices from one seed.
 class cell_world {
 public:
-    /// `linked`: hosts pass on orders of the coordinator, which itself carries no worker. `strong`:
-    /// how many of the hosts have more than a small share of a core.
+    /// `linked`: the other hosts relay the coordinator's orders to the workers. `strong`: the
+    /// number of hosts with a whole core; the others have a small share of one and serve fewer
+    /// workers.
     cell_world(std::uint64_t seed, std::size_t hosts, std::size_t workers,
                const cell_settings& settings = {}, bool linked = false,
                std::optional<std::size_t> strong = {})
         : settings_(settings), linked_(linked), strong_(strong.value_or(hosts)), random_(seed),
-          watch_(time_, seed + 1) {
+          checker_(time_, seed + 1) {
         store_.append(cell_stream::operators, {{"config", "1", 0}}, {});
         for (std::size_t index = 0; index < workers; ++index)
             add_worker("w" + std::to_string(index));
@@ -31,9 +32,9 @@
     sim_time& time() { return time_; }
     sim_store& store() { return store_; }
     sim_fleet& fleet() { return fleet_; }
-    /// Cuts a host off from the others, or joins it to them again.
+    /// Disconnects a host from the other hosts, or reconnects it.
     void cut_from_peers(std::size_t host, bool cut) { peers_.cut(address_of(host), cut); }
-    rule_watch& watch() { return watch_; }
+    invariant_checker& checker() { return checker_; }
     sim_host* host(std::size_t index) { return hosts_.at(index).get(); }
     std::size_t hosts() const { return hosts_.size(); }
     std::uint64_t draw() { return random_(); }
@@ -46,32 +47,32 @@
     void start_host(std::size_t index) {
         hosts_[index] = std::make_unique<sim_host>(
             time_, store_, fleet_, [this] { return draw_share(); },
-            "host-" + std::to_string(index) + "#" + std::to_string(++lives_), settings_,
+            "host-" + std::to_string(index) + "#" + std::to_string(++process_starts_), settings_,
             make_config(), link_of(index));
     }
     void kill_host(std::size_t index) {
-        const auto leading = acting();
+        const auto leading = newest_leader();
         if (!leading || *leading == index)
             coordinator_killed_at_ = time_.now();
         hosts_[index].reset();
     }
-    /// When the process that coordinated, or one of those that could have begun to, was killed
-    /// last.
+    /// When a host was last killed that was the coordinator, or that might have become it because
+    /// there was none.
     instant coordinator_killed_at() const { return coordinator_killed_at_; }
-    /// The host that coordinates, or nothing.
+    /// The index of the host that is the coordinator and has finished taking over, if any.
     std::optional<std::size_t> coordinator() const {
         for (std::size_t index = 0; index < hosts_.size(); ++index)
             if (hosts_[index] && hosts_[index]->member().coordinating() != nullptr &&
-                hosts_[index]->member().election().leads())
+                hosts_[index]->member().election().is_leader())
                 return index;
         return std::nullopt;
     }
 
-    /// Of the hosts that think that they coordinate, the one whose claim is the newest.
-    std::optional<std::size_t> acting() const {
+    /// Of the hosts that consider themselves the leader, the one with the highest epoch, if any.
+    std::optional<std::size_t> newest_leader() const {
         std::optional<std::size_t> newest;
         for (std::size_t index = 0; index < hosts_.size(); ++index) {
-            if (!hosts_[index] || !hosts_[index]->member().election().leads())
+            if (!hosts_[index] || !hosts_[index]->member().election().is_leader())
                 continue;
             if (!newest || epoch_of(index) > epoch_of(*newest))
                 newest = index;
@@ -85,9 +86,9 @@
         entry.listing.service = service_id("s");
         entry.listing.capacity = {4000, 16'384, 0};
         entry.listing.data_centre = data_centre_id("dc-" + std::to_string(random_() % 2));
-        watch_.room[name] = entry.listing.capacity;
-        entry.worker = std::make_unique<sim_worker>(time_, watch_, name, 0.98 + 0.02 * draw_share(),
-                                                    settings_.max_hold);
+        checker_.capacities[name] = entry.listing.capacity;
+        entry.worker = std::make_unique<sim_worker>(
+            time_, checker_, name, 0.98 + 0.02 * draw_share(), settings_.max_granted_lease);
         list_worker(name, "ready");
     }
     void list_worker(const std::string& name, const std::string& state) {
@@ -97,39 +98,39 @@
         store_.append(cell_stream::workers, {{name, std::nullopt, 0}}, {});
     }
 
-    /// Whether the list names it as one that takes work.
+    /// Whether the platform's worker list shows the worker as ready for work.
     bool is_listed_ready(const std::string& name) {
         const auto& newest = store_.of(cell_stream::workers).newest;
         const auto row = newest.find(name);
         return row != newest.end() && row->second.value == "ready";
     }
 
-    /// Hands a job in through a host; tells what the caller was told.
+    /// Submits a job through a host. The result is set when the host has answered the caller.
     std::shared_ptr<std::optional<intake_outcome>> submit(std::size_t host, const std::string& id,
                                                           const job_spec& spec) {
-        watch_.jobs[id] = {spec, std::nullopt};
+        checker_.jobs[id] = {spec, std::nullopt};
         return write(host, {{record_key(record_kind::job, id), encode_job(spec), 0}});
     }
     void cancel(std::size_t host, const std::string& id) {
         const auto told = write(host, {{record_key(record_kind::cancellation, id), "1", 0}});
         watch_cancel(id, told);
     }
-    /// What a host that keeps a copy has of a job.
+    /// The entry of a job on a host that is a read replica, or null.
     const job_entry* job(std::size_t host, const std::string& id) {
         return hosts_.at(host)->member().state().find(job_id(id));
     }
-    /// What a host that keeps no copy tells a caller who waits for 3 s.
-    std::optional<job_entry> ask(std::size_t host, const std::string& id) {
+    /// The answer of a host that is no read replica to a caller with a timeout of 3 s.
+    std::optional<job_entry> query_job(std::size_t host, const std::string& id) {
         constexpr duration patience = std::chrono::seconds(3);
         constexpr duration step = std::chrono::milliseconds(1);
         const auto told = std::make_shared<std::optional<job_answer>>();
         const instant end = time_.now() + patience;
         hosts_.at(host)->member().jobs().find(job_id(id), end,
                                               [told](const job_answer& answer) { *told = answer; });
-        // No longer than it takes: ended jobs are forgotten in time.
+        // Stop as soon as there is an answer, since ended jobs are forgotten after a while.
         while (!*told && time_.now() < end)
             time_.run_for(step);
-        if (!*told || (*told)->known != job_answer::kind::found)
+        if (!*told || (*told)->outcome != job_answer::kind::found)
             return std::nullopt;
         return (*told)->job;
     }
@@ -170,7 +171,7 @@
             {queue_name("q"), "h", "/q/", service_id("s"), 0, 3, 2, duration{}, std::nullopt});
         config.queues.push_back(
             {queue_name("advised"), "h", "/advised/", service_id("s"), 0, 3, 2, duration{},
-             advice_terms{std::chrono::milliseconds(20), duration{}, sim_policy::validity}});
+             advisor_settings{std::chrono::milliseconds(20), duration{}, sim_policy::validity}});
         config.services.push_back({service_id("s"), false, false});
         return config;
     }
@@ -191,7 +192,7 @@
             if (!told->has_value())
                 return watch_cancel(id, told);
             if (**told == intake_outcome::stored)
-                watch_.jobs.at(id).cancel_stored = time_.now();
+                checker_.jobs.at(id).cancel_stored = time_.now();
         });
     }
 
@@ -203,9 +204,9 @@
     sim_peers peers_{time_};
     sim_store store_;
     sim_fleet fleet_;
-    rule_watch watch_;
+    invariant_checker checker_;
     std::vector<std::unique_ptr<sim_host>> hosts_;
-    int lives_ = 0;
+    int process_starts_ = 0;
     instant coordinator_killed_at_{};
 };
 
--- a/tests/cell/fleet_load_test.cpp
+++ b/tests/cell/fleet_load_test.cpp
@@ -9,9 +9,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Loads of a large fleet at a tenth of a data centre's size: 40 workers in two data centres,
-/// lasting tasks that take most of the room, short jobs that keep coming, and six hosts that pass
-/// on the orders of a coordinator which carries no worker itself.
+/// Tests faults under the load of a large fleet, scaled down to a tenth of a data centre: 40
+/// workers in two data centres, service tasks that take most of the capacity, a steady stream of
+/// short batch jobs, and six hosts that relay the coordinator's orders.
 class fleet_load_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(fleet_load_test);
     CPPUNIT_TEST(a_third_of_the_hosts_parted_from_the_log);
@@ -33,7 +33,7 @@
     static step_spec short_step(std::uint32_t tasks) { return cell_world::make_step(tasks, 600); }
     static std::string lasting_job(std::size_t index) { return absl::StrCat("lasting", index); }
 
-    /// A host that has power; nothing while none has.
+    /// A random host that is running, or nothing if there is none.
     std::optional<std::size_t> any_host() {
         const std::size_t first = world_.draw() % hosts;
         for (std::size_t host = first; host < first + hosts; ++host)
@@ -41,24 +41,24 @@
                 return host % hosts;
         return std::nullopt;
     }
-    /// Two steps of eight tasks four times a second.
+    /// Submits a batch job of two steps with eight tasks each, four times a second.
     void keep_coming() {
         if (!coming_)
             return;
         step_spec second = short_step(8);
-        second.after = {0};
+        second.depends_on = {0};
         if (const auto host = any_host())
             world_.submit(*host, absl::StrCat("short", short_jobs_++),
                           cell_world::make_job({short_step(8), second}));
         world_.time().after(milliseconds(250), [this] { keep_coming(); });
     }
-    /// Lasting tasks take 104 of 160 cores.
+    /// Starts the load. The service tasks request 104 of the 160 cores.
     void begin() {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         world_.time().run_for(seconds(3));
         for (std::size_t index = 0; index < lasting_jobs; ++index) {
             step_spec step = cell_world::make_step(lasting_tasks, 1000);
-            step.lasting = true;
+            step.is_service = true;
             world_.submit(index % hosts, lasting_job(index), cell_world::make_job({step}));
         }
         world_.time().run_for(seconds(3));
@@ -70,14 +70,16 @@
         std::size_t running = 0;
         for (std::size_t job = 0; job < lasting_jobs; ++job)
             for (std::uint32_t index = 0; index < lasting_tasks; ++index)
-                running += world_.watch().runs(absl::StrCat(lasting_job(job), ".0.0.", index));
+                running +=
+                    world_.checker().is_running(absl::StrCat(lasting_job(job), ".0.0.", index));
         return running;
     }
     void all_lasting_run_within(duration bound) {
         world_.time().run_for(bound);
         CPPUNIT_ASSERT_EQUAL(lasting_jobs * lasting_tasks, lasting_running());
     }
-    /// Short jobs come to their end once no more come, and nothing broke a rule meanwhile.
+    /// Stops the stream of batch jobs and checks that all of them succeed, within `backlog`, and
+    /// that no invariant was violated.
     void end(duration backlog = seconds(20)) {
         coming_ = false;
         world_.time().run_for(backlog);
@@ -86,7 +88,7 @@
             if (entry != nullptr && entry->spec)
                 CPPUNIT_ASSERT(entry->phase == job_phase::succeeded);
         }
-        CPPUNIT_ASSERT(world_.watch().broken.empty());
+        CPPUNIT_ASSERT(world_.checker().violations.empty());
     }
     void lose_worker(const std::string& name) {
         world_.fleet().workers.at(name).cut = true;
@@ -109,7 +111,7 @@
         for (std::size_t host = first; host < first + hosts / 3; ++host)
             world_.host(host % hosts)->way_to_log().state = sim_log::way::refused;
         all_lasting_run_within(seconds(9));
-        CPPUNIT_ASSERT(world_.acting().has_value());
+        CPPUNIT_ASSERT(world_.newest_leader().has_value());
         for (std::size_t host = 0; host < hosts; ++host)
             world_.host(host)->way_to_log().state = sim_log::way::open;
         all_lasting_run_within(seconds(6));
@@ -125,8 +127,8 @@
         all_lasting_run_within(seconds(8));
         end();
     }
-    /// Guards against lasting tasks that find no room among short ones once their workers have
-    /// gone.
+    /// Guards against service tasks that find no free resources after the loss of their workers
+    /// because batch tasks take up the remaining ones.
     void workers_lost_at_short_notice_under_full_lasting_load() {
         begin();
         for (const char* const leaving : {"w1", "w2", "w3"})
@@ -149,10 +151,11 @@
         for (std::size_t host = 1; host < hosts; host += 2)
             world_.start_host(host);
         all_lasting_run_within(seconds(6));
-        // Meanwhile short jobs came for twice the room that is left.
+        // Meanwhile batch jobs were submitted for twice the remaining capacity.
         end(seconds(60));
     }
-    /// Guards against a restart of all after which work stands still for longer than its leases.
+    /// Guards against a restart of all hosts after which no tasks are started for longer than the
+    /// leases of the workers last.
     void all_hosts_without_power_at_the_end() {
         begin();
         for (std::size_t host = 0; host < hosts; ++host)
@@ -162,9 +165,9 @@
             world_.start_host(host);
         world_.time().run_for(seconds(4));
         CPPUNIT_ASSERT(world_.coordinator().has_value());
-        const std::uint64_t starts = world_.watch().starts;
+        const std::uint64_t starts = world_.checker().starts;
         world_.time().run_for(seconds(2));
-        CPPUNIT_ASSERT(world_.watch().starts > starts);
+        CPPUNIT_ASSERT(world_.checker().starts > starts);
         all_lasting_run_within(seconds(4));
         end();
     }
--- a/tests/cell/reign_readiness_test.cpp
+++ b/tests/cell/leader_readiness_test.cpp
@@ -9,12 +9,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Whether the host that holds the reign can use it. Renewals are small and pass links on which
-/// nothing else arrives in time.
-class reign_readiness_test : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(reign_readiness_test);
+/// Guards against a host that stays coordinator without being able to schedule. Renewals are small
+/// and pass links on which nothing else arrives in time.
+class leader_readiness_test : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(leader_readiness_test);
     CPPUNIT_TEST(a_host_that_is_still_loading_doesnt_keep_others_from_coordinating);
-    CPPUNIT_TEST(a_coordinator_whose_view_stays_old_makes_way);
+    CPPUNIT_TEST(a_coordinator_whose_view_stays_old_steps_down);
     CPPUNIT_TEST_SUITE_END();
 
     cell_world world_{7, 3, 4};
@@ -23,16 +23,16 @@
         const job_entry* const job = world_.job(host, id);
         return job == nullptr ? "unknown" : to_string(job->phase);
     }
-    void kept_the_rules() {
-        if (!world_.watch().broken.empty())
-            CPPUNIT_FAIL(world_.watch().broken.front());
+    void assert_invariants() {
+        if (!world_.checker().violations.empty())
+            CPPUNIT_FAIL(world_.checker().violations.front());
     }
 
 public:
-    /// Guards against a cell without a coordinator for as long as one host's load takes, while
-    /// hosts that have loaded wait.
+    /// Guards against a cell that has no working coordinator while one host loads, although other
+    /// hosts have loaded.
     void a_host_that_is_still_loading_doesnt_keep_others_from_coordinating() {
-        world_.watch().failing = 0;
+        world_.checker().failure_probability = 0;
         for (std::size_t host = 0; host < 3; ++host)
             world_.kill_host(host);
         world_.start_host(0);
@@ -45,12 +45,12 @@
         world_.time().run_for(seconds(10));
         CPPUNIT_ASSERT(world_.coordinator().has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase(1, "a"));
-        kept_the_rules();
+        assert_invariants();
     }
-    /// Guards against a coordinator that may start nothing and keeps the reign all the same: what
-    /// workers write is more than its link carries.
-    void a_coordinator_whose_view_stays_old_makes_way() {
-        world_.watch().failing = 0;
+    /// Guards against a coordinator that must not start tasks, because its link is too slow to
+    /// follow the workers' notices, and doesn't step down.
+    void a_coordinator_whose_view_stays_old_steps_down() {
+        world_.checker().failure_probability = 0;
         world_.time().run_for(seconds(2));
         const std::size_t first = *world_.coordinator();
         world_.host(first)->way_to_log().unreadable = cell_stream::workers;
@@ -59,11 +59,11 @@
         world_.submit(other, "a", cell_world::make_job({cell_world::make_step(3, 500)}));
         world_.time().run_for(seconds(15));
         CPPUNIT_ASSERT_EQUAL(std::string("succeeded"), phase(other, "a"));
-        kept_the_rules();
+        assert_invariants();
     }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(reign_readiness_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(leader_readiness_test);
 
 } // namespace
 } // namespace figwinch::sim
--- a/tests/cell/linked_loss_test.cpp
+++ b/tests/cell/linked_loss_test.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// How soon a task runs again whose worker is lost at its start, where hosts pass orders on.
+/// How soon a task runs again if its worker is lost at its start, where hosts relay orders.
 class linked_loss_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(linked_loss_test);
     CPPUNIT_TEST(a_task_whose_worker_is_lost_at_its_start_runs_elsewhere);
@@ -18,13 +18,13 @@
     static constexpr std::size_t workers = 8;
     static constexpr std::uint32_t tasks = 8;
 
-    /// The worker of a start that is passed on is lost, and `then` follows.
+    /// Loses the worker of a relayed start order as the order is sent, then calls `then`.
     template <class Then>
     void lose_worker_at_a_start(const Then& then) {
-        begin();
-        world_.submit(0, "a", lasting(tasks));
+        start_cell();
+        world_.submit(0, "a", service_job(tasks));
         world_.time().run_for(seconds(15));
-        all_run("a", tasks);
+        assert_all_run("a", tasks);
         std::string from;
         for (const auto& [name, entry] : world_.fleet().workers)
             if (entry.worker->running() > 0)
@@ -35,30 +35,31 @@
         world_.fleet().on_start_sent = [&](const std::string& to, const std::string& started) {
             if (started != failing || std::exchange(lost, true))
                 return;
-            lose(to);
+            lose_worker(to);
             world_.time().after(duration::zero(), then);
         };
         worker(from).fail_run(failing);
         run_until([&] { return lost; });
-        world_.time().run_for(longest_after_loss);
-        all_run("a", tasks);
-        kept_the_rules();
+        world_.time().run_for(max_down_time_after_loss);
+        assert_all_run("a", tasks);
+        assert_invariants();
     }
 
 public:
     linked_loss_test() : recovery_fixture(workers, true) {}
 
-    /// Guards against a start that is waited for as long as workers may grant because it was passed
-    /// on.
+    /// Guards against waiting for a relayed start order as long as the longest lease that workers
+    /// grant.
     void a_task_whose_worker_is_lost_at_its_start_runs_elsewhere() {
         lose_worker_at_a_start([] {});
     }
-    /// Guards against the same where the hosts that know over which connection it went are lost.
+    /// Guards against waiting for a relayed start order as long as the longest lease that workers
+    /// grant, where the relays that know over which connection it went are lost too.
     void a_task_whose_worker_and_passing_hosts_are_lost_runs_elsewhere() {
         lose_worker_at_a_start([this] {
-            const std::size_t leads = *world_.coordinator();
+            const std::size_t coordinating_host = *world_.coordinator();
             for (std::size_t host = 0; host < world_.hosts(); ++host)
-                if (host != leads)
+                if (host != coordinating_host)
                     world_.kill_host(host);
         });
     }
--- a/tests/cell/repeats_test.cpp
+++ b/tests/cell/repeats_test.cpp
@@ -6,7 +6,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Jobs whose steps run several times, each occurrence at its own time.
+/// Recurring jobs: their steps run several times, each occurrence at its own due time.
 class repeats_test : public recovery_fixture {
     CPPUNIT_TEST_SUITE(repeats_test);
     CPPUNIT_TEST(occurrences_start_when_they_are_due);
@@ -19,7 +19,8 @@
 
     static constexpr std::int64_t first_after_ms = 2000;
     static constexpr std::int64_t interval_ms = 1500;
-    /// How much earlier than due an occurrence may start, and how much later it may as a rule.
+    /// An occurrence must not have started this long before its due time, and must have started
+    /// this long after it.
     static constexpr std::int64_t early_ms = 250;
     static constexpr std::int64_t late_ms = 500;
 
@@ -30,23 +31,25 @@
         job_spec job = cell_world::make_job(std::move(steps));
         submitted_ms_ = now_ms();
         job.repeats = times;
-        job.first_ms = submitted_ms_ + first_after_ms;
+        job.first_due_ms = submitted_ms_ + first_after_ms;
         job.interval_ms = interval_ms;
         return job;
     }
     static std::string task_of(std::uint32_t occurrence, std::uint32_t step, std::uint32_t index) {
         return to_string(task_name{job_id("a"), occurrence, step, index});
     }
-    /// Runs up to this long after the job was handed in.
+    /// Runs the simulation until this long after the job was submitted.
     void run_to(std::int64_t after_ms) {
         world_.time().run_for(milliseconds(submitted_ms_ + after_ms - now_ms()));
     }
-    bool begun(std::uint32_t occurrence) { return world_.watch().begun(task_of(occurrence, 0, 0)); }
+    bool begun(std::uint32_t occurrence) {
+        return world_.checker().has_started(task_of(occurrence, 0, 0));
+    }
 
 public:
-    /// Guards against occurrences before their time, and against ones that wait for the next look.
+    /// Guards against occurrences that start before they are due, or only at a later check.
     void occurrences_start_when_they_are_due() {
-        begin();
+        start_cell();
         world_.submit(0, "a", repeated(3, {cell_world::make_step(2, 500)}));
         for (std::uint32_t number = 0; number < 3; ++number) {
             const std::int64_t due_ms = first_after_ms + number * interval_ms;
@@ -56,37 +59,37 @@
             CPPUNIT_ASSERT(begun(number));
         }
         world_.time().run_for(seconds(3));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.watch().starts);
-        kept_the_rules();
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{6}, world_.checker().starts);
+        assert_invariants();
     }
-    /// Guards against an occurrence that waits for the one before.
+    /// Guards against an occurrence that waits for the end of the previous one.
     void occurrences_overlap() {
-        begin();
+        start_cell();
         step_spec step = cell_world::make_step(1, 500);
-        step.filling = true;
-        world_.watch().filling_length = seconds(10);
+        step.is_best_effort = true;
+        world_.checker().best_effort_length = seconds(10);
         world_.submit(0, "a", repeated(3, {step}));
         run_to(first_after_ms + 2 * interval_ms + late_ms);
         for (std::uint32_t number = 0; number < 3; ++number)
-            CPPUNIT_ASSERT(world_.watch().runs(task_of(number, 0, 0)));
-        kept_the_rules();
+            CPPUNIT_ASSERT(world_.checker().is_running(task_of(number, 0, 0)));
+        assert_invariants();
     }
-    /// Guards against a successor that counts occurrences from the beginning or forgets some.
+    /// Guards against a successor that counts occurrences from the beginning or skips some.
     void occurrences_go_on_after_a_change_of_coordinator() {
-        begin();
+        start_cell();
         world_.submit(0, "a", repeated(5, {cell_world::make_step(2, 500)}));
         run_to(first_after_ms + interval_ms + late_ms);
         world_.kill_host(*world_.coordinator());
         run_to(first_after_ms + 5 * interval_ms + 6000);
         for (std::uint32_t number = 0; number < 5; ++number)
             for (std::uint32_t index = 0; index < 2; ++index)
-                CPPUNIT_ASSERT(world_.watch().ended_well(task_of(number, 0, index)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, world_.watch().starts);
-        kept_the_rules();
+                CPPUNIT_ASSERT(world_.checker().has_succeeded(task_of(number, 0, index)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{10}, world_.checker().starts);
+        assert_invariants();
     }
-    /// Guards against occurrences that were due while all hosts were away and are left out.
+    /// Guards against skipping occurrences that became due while all hosts were down.
     void occurrences_that_were_missed_run_once_each() {
-        begin();
+        start_cell();
         world_.submit(0, "a", repeated(3, {cell_world::make_step(1, 500)}));
         run_to(first_after_ms - 1000);
         for (std::size_t host = 0; host < world_.hosts(); ++host)
@@ -96,31 +99,31 @@
             world_.start_host(host);
         world_.time().run_for(seconds(10));
         for (std::uint32_t number = 0; number < 3; ++number)
-            CPPUNIT_ASSERT(world_.watch().ended_well(task_of(number, 0, 0)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, world_.watch().starts);
-        kept_the_rules();
+            CPPUNIT_ASSERT(world_.checker().has_succeeded(task_of(number, 0, 0)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, world_.checker().starts);
+        assert_invariants();
     }
-    /// Guards against a step that takes another occurrence's end for its own.
+    /// Guards against a step that starts because an earlier step ended in another occurrence.
     void steps_of_an_occurrence_keep_their_order() {
-        begin();
+        start_cell();
         step_spec second = cell_world::make_step(2, 500);
-        second.after = {0};
-        world_.watch().long_tasks = true;
+        second.depends_on = {0};
+        world_.checker().long_tasks = true;
         world_.submit(0, "a", repeated(4, {cell_world::make_step(3, 500), second}));
         run_to(first_after_ms + 4 * interval_ms + 6000);
         for (std::uint32_t number = 0; number < 4; ++number)
-            CPPUNIT_ASSERT(world_.watch().ended_well(task_of(number, 1, 1)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, world_.watch().starts);
-        kept_the_rules();
+            CPPUNIT_ASSERT(world_.checker().has_succeeded(task_of(number, 1, 1)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{20}, world_.checker().starts);
+        assert_invariants();
     }
     void no_occurrence_starts_after_a_cancellation() {
-        begin();
+        start_cell();
         world_.submit(0, "a", repeated(5, {cell_world::make_step(1, 500)}));
         run_to(first_after_ms + late_ms);
         world_.cancel(0, "a");
         run_to(first_after_ms + 6 * interval_ms);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world_.watch().starts);
-        kept_the_rules();
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, world_.checker().starts);
+        assert_invariants();
     }
 };
 
--- a/tests/cell_host/fake_platform.h
+++ b/tests/cell_host/fake_platform.h
@@ -11,7 +11,7 @@
 
 namespace figwinch {
 
-/// The one queue that a `fake_platform` configures.
+/// The only queue in the configuration of `fake_platform`.
 inline queue_config fake_queue() {
     queue_config queue;
     queue.name = queue_name("gate");
@@ -21,16 +21,16 @@
     return queue;
 }
 
-/// A log whose streams a test holds: calls to them stay unanswered until they are released. The
-/// others are empty, but for the operators' configuration. Nobody is elected.
+/// A log that never answers calls to the streams in `held`. The others are empty except for the
+/// operators' configuration. Appends to the election stream fail, so no host becomes coordinator.
 class held_log final : public durable_log {
 public:
     explicit held_log(event_loop& loop) : loop_(loop) {}
 
     std::set<cell_stream> held;
-    /// What an append takes.
+    /// Service time of an append.
     duration service{};
-    /// Appends to the intake stream have so many records in all.
+    /// Number of records appended to the intake stream.
     std::size_t appended = 0;
 
     void append(cell_stream stream, const std::vector<stored_record>& records, const append_guard&,
@@ -51,8 +51,8 @@
               std::function<void(read_result)> done) override {
         reply(stream, [done = std::move(done)] { done({}); });
     }
-    void newest(cell_stream stream, const std::string&,
-                std::function<void(newest_result)> done) override {
+    void read_newest(cell_stream stream, const std::string&,
+                     std::function<void(newest_result)> done) override {
         newest_result page;
         if (stream == cell_stream::operators)
             page.records.push_back({"config", "1", 0});
@@ -71,8 +71,8 @@
     std::unique_ptr<event_handle> serving_;
 };
 
-/// Bodies are ignored; the `Patience-Ms` header says how long a caller waits.
-class fake_dialect final : public job_dialect {
+/// Ignores bodies; the header `Patience-Ms` holds the caller's timeout.
+class fake_job_codec final : public job_api_codec {
 public:
     absl::StatusOr<job_spec> decode_submission(std::string_view) const override {
         job_spec job;
@@ -82,7 +82,7 @@
     bool is_job_id(std::string_view text) const override { return !text.empty(); }
     std::string encode_state(const job_entry&) const override { return "{}"; }
     std::string encode_waiting(std::size_t) const override { return "{}"; }
-    std::optional<duration> patience(const http_request& request) const override {
+    std::optional<duration> caller_timeout(const http_request& request) const override {
         const auto text = request.headers.find("Patience-Ms");
         if (!text)
             return std::nullopt;
@@ -92,7 +92,7 @@
     }
 };
 
-/// A platform without workers, on a log that a test holds.
+/// A platform without workers, on a `held_log`.
 class fake_platform : public cell_platform, public worker_orders, public worker_advisor {
 public:
     explicit fake_platform(event_loop& loop) : log_(loop) {}
@@ -102,7 +102,7 @@
     durable_log& log() override { return log_; }
     worker_orders& orders() override { return *this; }
     worker_advisor& advisor() override { return *this; }
-    const job_dialect& dialect() const override { return dialect_; }
+    const job_api_codec& job_codec() const override { return dialect_; }
     bool is_config_key(std::string_view key) const override { return key == "config"; }
     std::optional<cell_config> decode_config(std::string_view) const override {
         cell_config config;
@@ -121,15 +121,15 @@
     void start(const worker_listing&, const start_order&, answer_handler) override {}
     void stop(const worker_listing&, const std::string&, run_number, lease_epoch,
               answer_handler) override {}
-    void pace(const worker_listing&, const pace_order&, answer_handler) override {}
-    void hold(const worker_listing&, const hold_order&, hold_handler) override {}
+    void throttle(const worker_listing&, const throttle_order&, answer_handler) override {}
+    void renew_lease(const worker_listing&, const renewal_order&, renewal_handler) override {}
     void forget(const worker_id&) override {}
     void ask(const std::string&, const std::vector<worker_id>&, duration,
              worker_advisor::handler) override {}
 
 private:
     held_log log_;
-    fake_dialect dialect_;
+    fake_job_codec dialect_;
 };
 
 } // namespace figwinch
--- a/tests/link/fake_workers.h
+++ b/tests/link/fake_workers.h
@@ -8,41 +8,44 @@
 
 namespace figwinch {
 
-/// Workers that note what they are ordered and answer when a test says so.
+/// Records orders to workers. Answers stop and pace orders at once; a test completes start and hold
+/// orders by calling `done`.
 class fake_workers final : public worker_orders {
 public:
-    struct noted_start {
+    struct recorded_start {
         worker_id worker;
         start_order order;
         answer_handler done;
     };
-    struct noted_hold {
+    struct recorded_hold {
         worker_id worker;
-        hold_order order;
-        hold_handler done;
+        renewal_order order;
+        renewal_handler done;
     };
 
-    std::vector<noted_start> starts;
-    std::vector<noted_hold> holds;
+    std::vector<recorded_start> starts;
+    std::vector<recorded_hold> holds;
     std::vector<worker_id> stops;
     std::vector<int> paces;
     std::vector<worker_id> forgotten;
 
-    void start(const worker_listing& where, const start_order& order,
+    void start(const worker_listing& target, const start_order& order,
                answer_handler done) override {
-        starts.push_back({where.id, order, std::move(done)});
+        starts.push_back({target.id, order, std::move(done)});
     }
-    void stop(const worker_listing& where, const std::string&, run_number, lease_epoch,
+    void stop(const worker_listing& target, const std::string&, run_number, lease_epoch,
               answer_handler done) override {
-        stops.push_back(where.id);
+        stops.push_back(target.id);
         done({order_outcome::done, 7});
     }
-    void pace(const worker_listing&, const pace_order& order, answer_handler done) override {
-        paces.push_back(order.percent);
+    void throttle(const worker_listing&, const throttle_order& order,
+                  answer_handler done) override {
+        paces.push_back(order.speed_percent);
         done({order_outcome::refused, std::nullopt});
     }
-    void hold(const worker_listing& where, const hold_order& order, hold_handler done) override {
-        holds.push_back({where.id, order, std::move(done)});
+    void renew_lease(const worker_listing& target, const renewal_order& order,
+                     renewal_handler done) override {
+        holds.push_back({target.id, order, std::move(done)});
     }
     void forget(const worker_id& worker) override { forgotten.push_back(worker); }
 };
@@ -60,7 +63,7 @@
     order.task = task;
     order.run = run_number(run);
     order.payload = "payload of " + task.substr(0, task.find('.'));
-    order.until_ms = 1500;
+    order.start_by_ms = 1500;
     return order;
 }
 
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -14,25 +14,26 @@
 namespace figwinch::platform {
 namespace {
 
-/// Bytes from outside: what is read of them, and that nothing malformed gets further.
+/// Encoding and decoding of everything that is exchanged with the platform, and rejection of
+/// malformed input.
 class codec_test : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(codec_test);
     CPPUNIT_TEST(a_submission_is_read);
     CPPUNIT_TEST(malformed_submissions_are_refused_by_number);
     CPPUNIT_TEST(job_ids_are_sixteen_hexadecimal_digits);
-    CPPUNIT_TEST(states_are_told_in_the_callers_words);
+    CPPUNIT_TEST(job_states_are_encoded_as_callers_know_them);
     CPPUNIT_TEST(a_configuration_is_read);
     CPPUNIT_TEST(the_longest_prefix_selects_the_queue);
     CPPUNIT_TEST(a_worker_is_read);
     CPPUNIT_TEST(entries_of_other_writers_name_no_worker);
-    CPPUNIT_TEST(only_a_sequence_leaves_an_entry_the_same);
+    CPPUNIT_TEST(only_the_sequence_is_left_out_of_a_digest);
     CPPUNIT_TEST(entries_of_equal_digests_are_read_alike);
     CPPUNIT_TEST(a_report_is_read);
     CPPUNIT_TEST(orders_carry_what_workers_check);
     CPPUNIT_TEST(records_are_read_back);
     CPPUNIT_TEST(records_cut_short_are_refused);
     CPPUNIT_TEST(advice_is_asked_for_and_read);
-    CPPUNIT_TEST(random_bytes_never_pass_for_anything);
+    CPPUNIT_TEST(corrupted_bytes_never_decode_to_an_invalid_job);
     CPPUNIT_TEST_SUITE_END();
 
     static constexpr const char* submission =
@@ -54,10 +55,10 @@
         CPPUNIT_ASSERT(job.ok());
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, job->steps.size());
         const step_spec& second = job->steps[1];
-        CPPUNIT_ASSERT(second.gang && second.lasting && second.filling);
+        CPPUNIT_ASSERT(second.gang && second.is_service && second.is_best_effort);
         CPPUNIT_ASSERT_EQUAL(std::string("big"), second.label);
-        CPPUNIT_ASSERT_EQUAL(std::string("rack-9"), second.near_rack.str());
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, second.most_per_worker);
+        CPPUNIT_ASSERT_EQUAL(std::string("rack-9"), second.preferred_rack.str());
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{3}, second.max_per_worker);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{500}, job->steps[0].size.cpu_millis);
     }
     void malformed_submissions_are_refused_by_number() {
@@ -83,7 +84,7 @@
         CPPUNIT_ASSERT(!is_job_id("0123456789abcdeg"));
         CPPUNIT_ASSERT(!is_job_id("0123456789abcdef/"));
     }
-    void states_are_told_in_the_callers_words() {
+    void job_states_are_encoded_as_callers_know_them() {
         job_entry job;
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"state":"queued"})"), encode_state(job));
         job.begun = true;
@@ -102,12 +103,12 @@
         CPPUNIT_ASSERT(config.has_value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, config->version.value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, config->queues.size());
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, config->queues[0].attempts);
-        CPPUNIT_ASSERT(config->services[0].guards_capacity);
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{4}, config->queues[0].max_attempts);
+        CPPUNIT_ASSERT(config->services[0].enforces_capacity);
         CPPUNIT_ASSERT(!decode_config(R"({"routes":[],"services":[]})").has_value());
         CPPUNIT_ASSERT(!decode_config(R"({"version":"9","routes":[],"services":[]})").has_value());
-        CPPUNIT_ASSERT(evacuated_by("evacuate/z") == data_centre_id("z"));
-        CPPUNIT_ASSERT(!evacuated_by("config").has_value());
+        CPPUNIT_ASSERT(evacuated_data_centre("evacuate/z") == data_centre_id("z"));
+        CPPUNIT_ASSERT(!evacuated_data_centre("config").has_value());
     }
     void the_longest_prefix_selects_the_queue() {
         const auto config =
@@ -124,11 +125,11 @@
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::string("rack-9"), read->rack.str());
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1000}, read->capacity.cpu_millis);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1'700'000'000'000}, read->born_ms);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1'700'000'000'000}, read->incarnation);
         CPPUNIT_ASSERT(!read->leaving);
     }
-    /// Story: another writer has left bytes in the list of workers. They must name no worker to use
-    /// and must not keep the others from being used.
+    /// Guards against malformed entries in the list of workers, left there by another writer, being
+    /// taken for usable workers.
     void entries_of_other_writers_name_no_worker() {
         for (const char* const bytes :
              {"", "{}", "null", R"({"service":"s","address":"10.9.8.7:80","state":"ready"})",
@@ -138,7 +139,7 @@
               R"({"service":"s","address":"10.9.8.7:80","state":"ready","capacity":3})"})
             CPPUNIT_ASSERT_MESSAGE(bytes, !decode_listing("w1", bytes).has_value());
     }
-    void only_a_sequence_leaves_an_entry_the_same() {
+    void only_the_sequence_is_left_out_of_a_digest() {
         const auto changed = [](const std::string& from, const std::string& to) {
             std::string entry = worker;
             return listing_digest(entry.replace(entry.find(from), from.size(), to));
@@ -153,8 +154,9 @@
             CPPUNIT_ASSERT(same !=
                            changed(R"("sequence":3)", R"("sequence":)" + std::string(number)));
     }
-    /// Guards against an entry that is passed over because it was taken for one that was read
-    /// before: entries are damaged at random, and sometimes only in their sequence.
+    /// Guards against a changed entry being skipped because its digest equals that of an entry
+    /// which decodes differently. Entries are corrupted at random; half of them only around
+    /// `sequence`.
     void entries_of_equal_digests_are_read_alike() {
         std::mt19937 random(11);
         const std::string_view bytes = R"("{}[]:,\ 0123456789sequencready)";
@@ -177,9 +179,9 @@
         const auto read = decode_report(report);
         CPPUNIT_ASSERT(read.has_value());
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->running.size());
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{13}, read->running[0].recent);
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{13}, read->running[0].latency_ms_or_cpu_millis);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->ended.size());
-        CPPUNIT_ASSERT(read->ended[0].how == run_end::done);
+        CPPUNIT_ASSERT(read->ended[0].reason == run_end::done);
         CPPUNIT_ASSERT(!decode_report(R"({"running":[]})").has_value());
     }
     void orders_carry_what_workers_check() {
@@ -193,8 +195,8 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{4}, fields.integer("fence"));
         CPPUNIT_ASSERT_EQUAL(std::int64_t{70}, fields.integer("untilMs"));
         CPPUNIT_ASSERT_EQUAL(std::string("p\"q"), fields.text("spec"));
-        hold_order hold;
-        hold.noted = 5;
+        renewal_order hold;
+        hold.acknowledged = 5;
         const auto look = parse_object(encode_hold(hold));
         CPPUNIT_ASSERT(!json_reader(*look).has("untilMs"));
         CPPUNIT_ASSERT_EQUAL(std::int64_t{5}, json_reader(*look).integer("lastSeen"));
@@ -205,11 +207,11 @@
         std::string body(16, '\0');
         body[7] = 43;
         body[15] = 2;
-        body += encode_records(record_form::keyed, records);
-        const auto read = decode_read(record_form::keyed, 40, body);
+        body += encode_records(record_format::keyed, records);
+        const auto read = decode_read(record_format::keyed, 40, body);
         CPPUNIT_ASSERT(read.has_value());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{43}, read->end);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, read->first);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{43}, read->end_offset);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, read->start_offset);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, read->records.size());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{42}, read->records[2].offset);
         CPPUNIT_ASSERT_EQUAL(std::string("v\0w", 3), *read->records[0].value);
@@ -217,23 +219,23 @@
     }
     void records_cut_short_are_refused() {
         std::string body(16, '\0');
-        body += encode_records(record_form::keyed, {{"key", "value", 0}});
+        body += encode_records(record_format::keyed, {{"key", "value", 0}});
         for (std::size_t size = 0; size < body.size(); ++size)
             CPPUNIT_ASSERT(size == 16 ||
-                           !decode_read(record_form::keyed, 0, body.substr(0, size)).has_value());
+                           !decode_read(record_format::keyed, 0, body.substr(0, size)).has_value());
     }
     void advice_is_asked_for_and_read() {
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"step":"a.0.1","workers":["w1","w2"]})"),
-                             encode_question("a.0.1", {worker_id("w1"), worker_id("w2")}));
+                             encode_advice_request("a.0.1", {worker_id("w1"), worker_id("w2")}));
         const auto read = decode_advice(advice);
         CPPUNIT_ASSERT(read.has_value());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->good.size());
-        CPPUNIT_ASSERT_EQUAL(std::string("t-1"), read->good[0].ticket);
-        CPPUNIT_ASSERT(read->valid == std::chrono::milliseconds(3000));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{1}, read->allowed.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("t-1"), read->allowed[0].ticket);
+        CPPUNIT_ASSERT(read->ticket_validity == std::chrono::milliseconds(3000));
         CPPUNIT_ASSERT(!decode_advice(R"({"good":7})").has_value());
         CPPUNIT_ASSERT(!decode_advice("[]").has_value());
     }
-    void random_bytes_never_pass_for_anything() {
+    void corrupted_bytes_never_decode_to_an_invalid_job() {
         std::mt19937_64 random(3);
         const std::vector<std::string> good = {submission, worker, report, advice};
         for (int round = 0; round < 30'000; ++round) {
@@ -243,13 +245,13 @@
             if (random() % 3 == 0)
                 bytes.resize(random() % bytes.size());
             if (const auto job = decode_submission(bytes); job.ok())
-                CPPUNIT_ASSERT(check_job(*job).ok());
+                CPPUNIT_ASSERT(validate_job(*job).ok());
             decode_listing("w", bytes);
             decode_report(bytes);
             decode_advice(bytes);
             decode_config(bytes);
-            decode_read(record_form::keyed, 0, bytes);
-            decode_read(record_form::plain, 0, bytes);
+            decode_read(record_format::keyed, 0, bytes);
+            decode_read(record_format::plain, 0, bytes);
         }
     }
 };
